--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -37,7 +37,7 @@
 enum class RetryVerdict { Retry, GiveUp };
 
 /// What an entry knows when an attempt has failed.
-struct RetryQuestion {
+struct RetryContext {
   Error Failure;
   bool IsIdempotent = false;
   int Attempts = 1;
@@ -77,6 +77,6 @@
 
 /// Work that may have run moves to another endpoint only if it is
 /// idempotent; the budget holds over the whole path since only entries retry.
-RetryAnswer decideRetry(const RetryQuestion &question, RetryBudget &budget);
+RetryAnswer decideRetry(const RetryContext &question, RetryBudget &budget);
 
 } // namespace hickoryglade
--- a/tests/kernel/test_doubt.cpp
+++ b/tests/kernel/test_doubt.cpp
@@ -344,8 +344,8 @@
 
 TEST_CASE("endpoints that may have run a request count towards its limit") {
   RetryBudget budget;
-  RetryQuestion question{makeError(ErrorKind::EndpointFailed), true, 2,
-                         milliseconds(500), milliseconds(10)};
+  RetryContext question{makeError(ErrorKind::EndpointFailed), true, 2,
+                        milliseconds(500), milliseconds(10)};
   question.Runs = 1;
   question.MostRuns = 2;
   CHECK(decideRetry(question, budget).Verdict == RetryVerdict::Retry);
