--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -231,7 +231,7 @@
     inquiry.Runs += error.Run == RunState::Unknown;
     if (error.Run == RunState::Unknown && inquiry.Arrivals == 0)
       inquiry.Arrivals = 1;
-    RetryAnswer answer =
+    RetryDecision answer =
         decideRetry({error, inquiry.IsIdempotent, number - freeTries,
                      inquiry.Deadline - now(), inquiry.Cost.Expected,
                      inquiry.Runs, inquiry.Way.Policy.MaxAttempts},
--- a/src/libhickoryglade/retry.cpp
+++ b/src/libhickoryglade/retry.cpp
@@ -71,7 +71,7 @@
   return std::clamp(wait, least, timeLeft / part);
 }
 
-RetryAnswer decideRetry(const RetryContext &question, RetryBudget &budget) {
+RetryDecision decideRetry(const RetryContext &question, RetryBudget &budget) {
   if (isFinal(question.Failure.Kind))
     return {RetryVerdict::GiveUp, "another attempt would fail alike"};
   if (question.Failure.Run == RunState::Unknown && !question.IsIdempotent)
--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -48,11 +48,11 @@
   int MostRuns = 4;
 };
 
-struct RetryAnswer {
+struct RetryDecision {
   RetryVerdict Verdict = RetryVerdict::GiveUp;
   std::string_view Reason;
 
-  bool operator==(const RetryAnswer &) const = default;
+  bool operator==(const RetryDecision &) const = default;
 };
 
 /// What a caller is told after its last attempt: an earlier one that may have
@@ -77,6 +77,6 @@
 
 /// Work that may have run moves to another endpoint only if it is
 /// idempotent; the budget holds over the whole path since only entries retry.
-RetryAnswer decideRetry(const RetryContext &question, RetryBudget &budget);
+RetryDecision decideRetry(const RetryContext &question, RetryBudget &budget);
 
 } // namespace hickoryglade
--- a/tests/kernel/test_decisions.cpp
+++ b/tests/kernel/test_decisions.cpp
@@ -27,8 +27,8 @@
                                                                rng);
 }
 
-RetryAnswer retry(ErrorKind kind, RunState run, bool isIdempotent,
-                  RetryBudget &budget) {
+RetryDecision retry(ErrorKind kind, RunState run, bool isIdempotent,
+                    RetryBudget &budget) {
   return decideRetry({{kind, run, {}, {}},
                       isIdempotent,
                       1,
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -194,7 +194,7 @@
   call->MayHaveRun = call->MayHaveRun || error.Run == RunState::Unknown;
   bool isSafe = call->IsIdempotent || !has(Mechanism::Retry);
   call->FreeTries += isFreeRetry(error.Kind);
-  RetryAnswer answer =
+  RetryDecision answer =
       decideRetry({error, isSafe, call->Attempts - call->FreeTries,
                    call->Deadline - Now, Micros(0)},
                   Nodes.at(call->Entry).Budget);
