--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -20,10 +20,10 @@
   bool tryTake();
 
 private:
-  static constexpr double UsualReserve = 10;
+  static constexpr double DefaultReserve = 10;
   static constexpr double UsualMost = 100;
   double Most = UsualMost;
-  double Tokens = UsualReserve;
+  double Tokens = DefaultReserve;
 };
 
 /// Share of fresh requests whose answer may be an endpoint's report of an error
