--- a/src/libhickoryglade/retry.cpp
+++ b/src/libhickoryglade/retry.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 void RetryBudget::noteFresh(int percent) {
-  Tokens = std::min(Most, Tokens + percent / Percent);
+  Tokens = std::min(MaxTokens, Tokens + percent / Percent);
 }
 
 RetryBudget makeErrorBudget() {
--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -14,15 +14,16 @@
 public:
   RetryBudget() = default;
   /// Starts with a reserve of retries and never holds more than a number.
-  RetryBudget(double reserve, double most) : Most(most), Tokens(reserve) {}
+  RetryBudget(double reserve, double maxTokens)
+      : MaxTokens(maxTokens), Tokens(reserve) {}
 
   void noteFresh(int percent);
   bool tryTake();
 
 private:
   static constexpr double DefaultReserve = 10;
-  static constexpr double UsualMost = 100;
-  double Most = UsualMost;
+  static constexpr double DefaultMaxTokens = 100;
+  double MaxTokens = DefaultMaxTokens;
   double Tokens = DefaultReserve;
 };
 
