--- a/src/libhickoryglade/retry.cpp
+++ b/src/libhickoryglade/retry.cpp
@@ -78,7 +78,7 @@
     return {RetryVerdict::GiveUp, "may have run and is not idempotent"};
   if (question.Runs >= question.MostRuns)
     return {RetryVerdict::GiveUp, "endpoints exhausted"};
-  if (question.Attempts >= MostAttempts)
+  if (question.Attempts >= AttemptLimit)
     return {RetryVerdict::GiveUp, "attempts exhausted"};
   if (question.TimeLeft <= question.ExpectedCost)
     return {RetryVerdict::GiveUp, "no time left"};
--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -68,7 +68,7 @@
 Millis retryAdvice(Millis named, Millis timeLeft, Random &rng);
 
 /// Attempts after which a request is given up.
-constexpr int MostAttempts = 4;
+constexpr int AttemptLimit = 4;
 
 /// Refusals that cost one message each, after which a request is given up.
 constexpr int MostFreeTries = 12;
