--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -245,7 +245,7 @@
               {"detail", error.Detail},
               {"retry", answer.Verdict == RetryVerdict::Retry},
               {"reason", answer.Reason}});
-    bool mayContinue = freeTries < MostFreeTries && !isTooLateToStart(inquiry);
+    bool mayContinue = freeTries < FreeRetryLimit && !isTooLateToStart(inquiry);
     if (answer.Verdict == RetryVerdict::Retry && mayContinue)
       continue;
     if (isOwedAnotherTry(inquiry, error)) {
--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -71,7 +71,7 @@
 constexpr int AttemptLimit = 4;
 
 /// Refusals that cost one message each, after which a request is given up.
-constexpr int MostFreeTries = 12;
+constexpr int FreeRetryLimit = 12;
 
 /// True for a refusal that costs one message and draws on no budget.
 bool isFreeRetry(ErrorKind kind);
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -198,7 +198,7 @@
       decideRetry({error, isSafe, call->Attempts - call->FreeTries,
                    call->Deadline - Now, Micros(0)},
                   Nodes.at(call->Entry).Budget);
-  if (answer.Verdict == RetryVerdict::Retry && call->FreeTries < MostFreeTries)
+  if (answer.Verdict == RetryVerdict::Retry && call->FreeTries < FreeRetryLimit)
     return tryOnce(call);
   giveUp(call, error);
 }
