--- a/src/libhickoryglade/retry.cpp
+++ b/src/libhickoryglade/retry.cpp
@@ -76,7 +76,7 @@
     return {RetryVerdict::GiveUp, "another attempt would fail alike"};
   if (question.Failure.Run == RunState::Unknown && !question.IsIdempotent)
     return {RetryVerdict::GiveUp, "may have run and is not idempotent"};
-  if (question.Runs >= question.MostRuns)
+  if (question.Runs >= question.MaxRuns)
     return {RetryVerdict::GiveUp, "endpoints exhausted"};
   if (question.Attempts >= AttemptLimit)
     return {RetryVerdict::GiveUp, "attempts exhausted"};
--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -46,7 +46,7 @@
   Micros ExpectedCost{0};
   /// Attempts that an endpoint may have run, and how many may.
   int Runs = 0;
-  int MostRuns = 4;
+  int MaxRuns = 4;
 };
 
 struct RetryDecision {
--- a/tests/kernel/test_doubt.cpp
+++ b/tests/kernel/test_doubt.cpp
@@ -347,7 +347,7 @@
   RetryContext question{makeError(ErrorKind::EndpointFailed), true, 2,
                         milliseconds(500), milliseconds(10)};
   question.Runs = 1;
-  question.MostRuns = 2;
+  question.MaxRuns = 2;
   CHECK(decideRetry(question, budget).Verdict == RetryVerdict::Retry);
   question.Runs = 2;
   CHECK(decideRetry(question, budget).Verdict == RetryVerdict::GiveUp);
