--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -428,7 +428,7 @@
                {"kind", row.Name},        {"run", toString(error.Run)},
                {"request_id", id}};
   if (row.IsRetryable && error.Run == RunState::NotRun) {
-    Millis wait = retryAdvice(error.RetryAfter, toMillis(timeLeft), Rng);
+    Millis wait = suggestRetryAfter(error.RetryAfter, toMillis(timeLeft), Rng);
     body["retry_after_ms"] = wait.count();
     answer.Headers.push_back({"Retry-After", formatRetryAfter(Dialect, wait)});
   }
--- a/src/libhickoryglade/retry.cpp
+++ b/src/libhickoryglade/retry.cpp
@@ -56,7 +56,7 @@
          kind == ErrorKind::ContentSuspect;
 }
 
-Millis retryAdvice(Millis named, Millis timeLeft, Random &rng) {
+Millis suggestRetryAfter(Millis named, Millis timeLeft, Random &rng) {
   // As long as the usual wait, so that callers do not come back together.
   constexpr std::uint64_t spreadMs = 1'000;
   // Leaves three quarters of the caller's time for the work.
--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -65,7 +65,7 @@
 
 /// When a refused caller is to come back: as the refusal says, spread where it
 /// says nothing, and early enough to leave time for the work itself.
-Millis retryAdvice(Millis named, Millis timeLeft, Random &rng);
+Millis suggestRetryAfter(Millis named, Millis timeLeft, Random &rng);
 
 /// Attempts after which a request is given up.
 constexpr int AttemptLimit = 4;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -206,8 +206,8 @@
 void World::giveUp(const std::shared_ptr<Call> &call, const Error &error) {
   bool isUnknown = finalError(error, call->MayHaveRun).Run == RunState::Unknown;
   if (call->Outcome == Told::Nothing)
-    call->RetryAfter = retryAdvice(error.RetryAfter,
-                                   toMillis(call->Deadline - Now), AdviceRng);
+    call->RetryAfter = suggestRetryAfter(
+        error.RetryAfter, toMillis(call->Deadline - Now), AdviceRng);
   finish(call, isUnknown ? Told::Unknown : Told::NotRun, error.Kind);
 }
 
