--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -323,14 +323,14 @@
   const auto *router =
       Registry<RouterPolicy>::instance().find(inquiry.Way.Policy.Router);
   Instant until = std::min(now() + CandidatePatience, inquiry.Deadline);
-  RouteQuestion question{inquiry.Cost.IsLong,
-                         inquiry.IsIdempotent,
-                         inquiry.RoomRefusals > 0,
-                         isSerialized,
-                         inquiry.Fingerprint,
-                         inquiry.Way.Policy.TrialOdds,
-                         inquiry.Way.Policy.SpillsToDoubtful,
-                         inquiry.RoomRefusals};
+  RouteRequest question{inquiry.Cost.IsLong,
+                        inquiry.IsIdempotent,
+                        inquiry.RoomRefusals > 0,
+                        isSerialized,
+                        inquiry.Fingerprint,
+                        inquiry.Way.Policy.TrialOdds,
+                        inquiry.Way.Policy.SpillsToDoubtful,
+                        inquiry.RoomRefusals};
   while (true) {
     all = candidates(inquiry, now());
     RoutePlan plan = router->Plan(all, question, Rng);
--- a/src/libhickoryglade/routerpolicy.cpp
+++ b/src/libhickoryglade/routerpolicy.cpp
@@ -34,14 +34,14 @@
   return all;
 }
 
-bool suitsTrial(const RouteQuestion &question) {
+bool suitsTrial(const RouteRequest &question) {
   return question.IsIdempotent && !question.IsLong && !question.IsSerialized;
 }
 
 } // namespace
 
 std::vector<std::size_t> eligible(std::span<const Candidate> candidates,
-                                  const RouteQuestion &question, Random &rng) {
+                                  const RouteRequest &question, Random &rng) {
   if (suitsTrial(question)) {
     auto trials = withStanding(candidates, Standing::Trial, false);
     if (!trials.empty() && uniform(rng, std::uint64_t(question.TrialOdds)) == 0)
--- a/src/libhickoryglade/routerpolicy.h
+++ b/src/libhickoryglade/routerpolicy.h
@@ -33,7 +33,7 @@
 };
 
 /// What a router needs to know of the request.
-struct RouteQuestion {
+struct RouteRequest {
   bool IsLong = false;
   bool IsIdempotent = true;
   /// True once a slot that was thought free turned out to be taken.
@@ -75,14 +75,14 @@
 /// Chooses gates. Registered under the names that settings use.
 struct RouterPolicy {
   RoutePlan (*Plan)(std::span<const Candidate> candidates,
-                    const RouteQuestion &question, Random &rng);
+                    const RouteRequest &question, Random &rng);
 };
 
 /// Indexes of the candidates to choose from: healthy ones on working paths
 /// and now and then one on trial, else suspects, else nothing. Those that have
 /// been tried come last.
 std::vector<std::size_t> eligible(std::span<const Candidate> candidates,
-                                  const RouteQuestion &question, Random &rng);
+                                  const RouteRequest &question, Random &rng);
 
 /// The plan for a request whose copies must all meet at one gate: whatever
 /// each entry thinks of paths and health, it must choose alike.
--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -70,7 +70,7 @@
 }
 
 RoutePlan planFar(std::span<const Candidate> candidates, const Indexes &near,
-                  const Indexes &far, const RouteQuestion &question,
+                  const Indexes &far, const RouteRequest &question,
                   Random &rng) {
   Indexes place = chooseFar(candidates, far, rng);
   if (question.RoomRefusals < RefusalsBeforeAll) {
@@ -86,7 +86,7 @@
 }
 
 RoutePlan planNearest(std::span<const Candidate> candidates,
-                      const RouteQuestion &question, Random &rng) {
+                      const RouteRequest &question, Random &rng) {
   if (question.IsSerialized)
     return planSerialized(candidates, question.Fingerprint);
   Indexes among = eligible(candidates, question, rng);
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -32,7 +32,7 @@
 }
 
 RoutePlan planTickets(std::span<const Candidate> candidates,
-                      const RouteQuestion &question, Random &rng) {
+                      const RouteRequest &question, Random &rng) {
   if (question.IsSerialized)
     return planSerialized(candidates, question.Fingerprint);
   std::vector<std::size_t> among = eligible(candidates, question, rng);
--- a/src/plugins/twochoices/twochoices.cpp
+++ b/src/plugins/twochoices/twochoices.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 RoutePlan planTwoChoices(std::span<const Candidate> candidates,
-                         const RouteQuestion &question, Random &rng) {
+                         const RouteRequest &question, Random &rng) {
   if (question.IsSerialized)
     return planSerialized(candidates, question.Fingerprint);
   std::vector<std::size_t> among = eligible(candidates, question, rng);
--- a/tests/kernel/test_decisions.cpp
+++ b/tests/kernel/test_decisions.cpp
@@ -21,7 +21,7 @@
 }
 
 RoutePlan plan(const char *router, const std::vector<Candidate> &all,
-               RouteQuestion question = {}) {
+               RouteRequest question = {}) {
   Random rng(1);
   return Registry<RouterPolicy>::instance().find(router)->Plan(all, question,
                                                                rng);
@@ -92,7 +92,7 @@
 TEST_CASE("copies of a suspicious request meet at one gate") {
   std::vector<Candidate> all{candidate("a", 3), candidate("b", 3),
                              candidate("c", 3)};
-  RouteQuestion question;
+  RouteRequest question;
   question.IsSerialized = true;
   question.Fingerprint = 99;
   auto first = plan("two_choices", all, question).Targets;
--- a/tests/kernel/test_doubt.cpp
+++ b/tests/kernel/test_doubt.cpp
@@ -201,7 +201,7 @@
   std::vector<Candidate> all = {candidate("a", Standing::Healthy, 0),
                                 candidate("b", Standing::Suspect, 3),
                                 candidate("c", Standing::Trial, 0)};
-  RouteQuestion question;
+  RouteRequest question;
   question.MaySpill = true;
   question.TrialOdds = 1'000'000'000;
   Random rng(1);
--- a/tests/kernel/test_nearest.cpp
+++ b/tests/kernel/test_nearest.cpp
@@ -43,7 +43,7 @@
 }
 
 RoutePlan plan(const std::vector<Candidate> &all, int refusals, Random &rng) {
-  RouteQuestion question;
+  RouteRequest question;
   question.RoomRefusals = refusals;
   question.IsIdempotent = false;
   return Registry<RouterPolicy>::instance().find("nearest")->Plan(all, question,
@@ -111,7 +111,7 @@
   all[0].WasTried = true;
   all[1].State = Standing::Suspect;
   all[2].State = Standing::Trial;
-  RouteQuestion question;
+  RouteRequest question;
   question.TrialOdds = 1'000'000;
   question.IsIdempotent = false;
   CHECK(eligible(all, question, rng) == std::vector<std::size_t>{0});
