--- a/src/libhickoryglade/routerpolicy.h
+++ b/src/libhickoryglade/routerpolicy.h
@@ -37,7 +37,7 @@
   bool IsLong = false;
   bool IsIdempotent = true;
   /// True once a slot that was thought free turned out to be taken.
-  bool HasMissed = false;
+  bool WasSlotTaken = false;
   /// True for a request that may have crashed an endpoint: all its copies
   /// must meet at one gate.
   bool IsSerialized = false;
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -44,7 +44,7 @@
     return std::pair(isFree, attraction(candidates[i]));
   });
   bool isFreeKnown = knownFree(candidates[*freest]) >= FreeForDirectSend;
-  if (isFreeKnown && !question.HasMissed)
+  if (isFreeKnown && !question.WasSlotTaken)
     return {{*freest}, false, true, "free slot known"};
   std::ranges::stable_sort(among, {}, [&](std::size_t i) {
     return std::pair(pressure(candidates[i]), !candidates[i].IsNear);
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -43,7 +43,7 @@
   int FreeTries = 0;
   std::set<std::string> Tried;
   bool MayHaveRun = false;
-  bool HasMissed = false;
+  bool WasSlotTaken = false;
   int Crashes = 0;
   int Runs = 0;
   Instant FirstRun;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -95,7 +95,7 @@
   const auto *router = Registry<RouterPolicy>::instance().find(Policy.Router);
   RoutePlan plan =
       router->Plan(all,
-                   {call->IsLong, call->IsIdempotent, call->HasMissed,
+                   {call->IsLong, call->IsIdempotent, call->WasSlotTaken,
                     rule == QuarantineRule::Serialized, call->Fingerprint},
                    node.Door.Rng);
   if (plan.Targets.empty())
@@ -188,7 +188,7 @@
     return finish(call, told, ErrorKind::Internal);
   if (error.Kind != ErrorKind::SlotTaken && !attempt->Chosen.empty())
     call->Tried.insert(attempt->Chosen);
-  call->HasMissed = call->HasMissed || error.Kind == ErrorKind::SlotTaken;
+  call->WasSlotTaken = call->WasSlotTaken || error.Kind == ErrorKind::SlotTaken;
   if (error.Kind == ErrorKind::ContentSuspect)
     call->Crashes = std::max(call->Crashes, 1);
   call->MayHaveRun = call->MayHaveRun || error.Run == RunState::Unknown;
