--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -222,7 +222,7 @@
                          "answered " + std::to_string(failure->Status));
     }
     const Error &error = std::get<Error>(result);
-    inquiry.RoomRefusals += error.Kind == ErrorKind::SlotTaken;
+    inquiry.CapacityRefusals += error.Kind == ErrorKind::SlotTaken;
     inquiry.DoubtRefusals += error.Kind == ErrorKind::EndpointDoubtful;
     bool hasFailed = error.Kind != ErrorKind::SlotTaken;
     freeTries += isFreeRetry(error.Kind);
@@ -325,12 +325,12 @@
   Instant until = std::min(now() + CandidatePatience, inquiry.Deadline);
   RouteRequest question{inquiry.Cost.IsLong,
                         inquiry.IsIdempotent,
-                        inquiry.RoomRefusals > 0,
+                        inquiry.CapacityRefusals > 0,
                         isSerialized,
                         inquiry.Fingerprint,
                         inquiry.Way.Policy.TrialOdds,
                         inquiry.Way.Policy.SpillsToDoubtful,
-                        inquiry.RoomRefusals};
+                        inquiry.CapacityRefusals};
   while (true) {
     all = candidates(inquiry, now());
     RoutePlan plan = router->Plan(all, question, Rng);
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -40,7 +40,7 @@
   /// Attempts that an endpoint may have run.
   int Runs = 0;
   /// Times that gates have refused it for want of room.
-  int RoomRefusals = 0;
+  int CapacityRefusals = 0;
   /// Times that gates have refused it because of doubt about their endpoints.
   int DoubtRefusals = 0;
   /// Gate of the latest attempt that reached one.
--- a/src/libhickoryglade/routerpolicy.h
+++ b/src/libhickoryglade/routerpolicy.h
@@ -47,7 +47,7 @@
   /// Whether it may go to doubtful endpoints while no healthy one is free.
   bool MaySpill = false;
   /// Times that gates have refused it for want of room.
-  int RoomRefusals = 0;
+  int CapacityRefusals = 0;
 };
 
 /// Where to send a request.
--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -73,7 +73,7 @@
                   const Indexes &far, const RouteRequest &question,
                   Random &rng) {
   Indexes place = chooseFar(candidates, far, rng);
-  if (question.RoomRefusals < RefusalsBeforeAll) {
+  if (question.CapacityRefusals < RefusalsBeforeAll) {
     std::size_t best = freest(candidates, place);
     if (knownFree(candidates[best]) > 0)
       return {{best}, false, true, "free slot elsewhere"};
@@ -97,12 +97,12 @@
       among, [&](std::size_t i) { return candidates[i].IsNear; });
   Indexes far(rest.begin(), rest.end());
   Indexes near(among.begin(), rest.begin());
-  if (!near.empty() && question.RoomRefusals == 0) {
+  if (!near.empty() && question.CapacityRefusals == 0) {
     std::size_t best = freest(candidates, near);
     if (knownFree(candidates[best]) > 0)
       return {{best}, false, true, "free slot near"};
   }
-  bool isNearTried = question.RoomRefusals > 1;
+  bool isNearTried = question.CapacityRefusals > 1;
   if (far.empty() || (!near.empty() && !isNearTried)) {
     RoutePlan plan{leastPressed(candidates, near, MostTickets), true, false,
                    "tickets near"};
--- a/tests/kernel/test_nearest.cpp
+++ b/tests/kernel/test_nearest.cpp
@@ -44,7 +44,7 @@
 
 RoutePlan plan(const std::vector<Candidate> &all, int refusals, Random &rng) {
   RouteRequest question;
-  question.RoomRefusals = refusals;
+  question.CapacityRefusals = refusals;
   question.IsIdempotent = false;
   return Registry<RouterPolicy>::instance().find("nearest")->Plan(all, question,
                                                                   rng);
