--- a/src/libhickoryglade/routerpolicy.cpp
+++ b/src/libhickoryglade/routerpolicy.cpp
@@ -40,8 +40,9 @@
 
 } // namespace
 
-std::vector<std::size_t> eligible(std::span<const Candidate> candidates,
-                                  const RouteRequest &question, Random &rng) {
+std::vector<std::size_t>
+eligibleCandidates(std::span<const Candidate> candidates,
+                   const RouteRequest &question, Random &rng) {
   if (suitsTrial(question)) {
     auto trials = withStanding(candidates, Standing::Trial, false);
     if (!trials.empty() && uniform(rng, std::uint64_t(question.TrialOdds)) == 0)
--- a/src/libhickoryglade/routerpolicy.h
+++ b/src/libhickoryglade/routerpolicy.h
@@ -81,8 +81,9 @@
 /// Indexes of the candidates to choose from: healthy ones on working paths
 /// and now and then one on trial, else suspects, else nothing. Those that have
 /// been tried come last.
-std::vector<std::size_t> eligible(std::span<const Candidate> candidates,
-                                  const RouteRequest &question, Random &rng);
+std::vector<std::size_t>
+eligibleCandidates(std::span<const Candidate> candidates,
+                   const RouteRequest &question, Random &rng);
 
 /// The plan for a request whose copies must all meet at one gate: whatever
 /// each entry thinks of paths and health, it must choose alike.
--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -89,7 +89,7 @@
                       const RouteRequest &question, Random &rng) {
   if (question.IsSerialized)
     return planSerialized(candidates, question.Fingerprint);
-  Indexes among = eligible(candidates, question, rng);
+  Indexes among = eligibleCandidates(candidates, question, rng);
   if (among.empty())
     return {{}, false, false, "no candidate"};
   std::ranges::shuffle(among, rng);
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -35,7 +35,8 @@
                       const RouteRequest &question, Random &rng) {
   if (question.IsSerialized)
     return planSerialized(candidates, question.Fingerprint);
-  std::vector<std::size_t> among = eligible(candidates, question, rng);
+  std::vector<std::size_t> among =
+      eligibleCandidates(candidates, question, rng);
   if (among.empty())
     return {{}, false, false, "no candidate"};
   shuffle(among, rng);
--- a/tests/kernel/test_doubt.cpp
+++ b/tests/kernel/test_doubt.cpp
@@ -205,13 +205,14 @@
   question.MaySpill = true;
   question.TrialOdds = 1'000'000'000;
   Random rng(1);
-  CHECK(eligible(all, question, rng) == std::vector<std::size_t>{1});
+  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{1});
   question.IsIdempotent = false;
-  CHECK(eligible(all, question, rng) == std::vector<std::size_t>{0});
+  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{0});
   question.IsIdempotent = true;
   all[0].FreeSlots = 1;
   for (int i = 0; i < 20; ++i)
-    CHECK(eligible(all, question, rng) != std::vector<std::size_t>{1});
+    CHECK(eligibleCandidates(all, question, rng) !=
+          std::vector<std::size_t>{1});
 }
 
 TEST_CASE("a gate keeps to its part of the fleet's retries") {
--- a/tests/kernel/test_nearest.cpp
+++ b/tests/kernel/test_nearest.cpp
@@ -114,11 +114,11 @@
   RouteRequest question;
   question.TrialOdds = 1'000'000;
   question.IsIdempotent = false;
-  CHECK(eligible(all, question, rng) == std::vector<std::size_t>{0});
+  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{0});
   question.IsIdempotent = true;
-  CHECK(eligible(all, question, rng) == std::vector<std::size_t>{1});
+  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{1});
   all[0].WasTried = false;
-  CHECK(eligible(all, question, rng) == std::vector<std::size_t>{0});
+  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{0});
 }
 
 TEST_CASE("a service without gates near is served from elsewhere at once") {
