--- a/src/libhickoryglade/routerpolicy.cpp
+++ b/src/libhickoryglade/routerpolicy.cpp
@@ -87,7 +87,7 @@
   return {{std::size_t(it - candidates.begin())}, false, false, "serialized"};
 }
 
-double pressure(const Candidate &it) {
+double loadPerSlot(const Candidate &it) {
   int busy = it.Slots - it.FreeSlots;
   return double(std::max(busy + it.Queued, it.Outstanding)) /
          std::max(it.Slots, 1);
--- a/src/libhickoryglade/routerpolicy.h
+++ b/src/libhickoryglade/routerpolicy.h
@@ -91,7 +91,7 @@
                          std::uint64_t fingerprint);
 
 /// Estimated work in front of a new request, per slot.
-double pressure(const Candidate &it);
+double loadPerSlot(const Candidate &it);
 
 /// Certainly free slots as far as this entry knows.
 int knownFree(const Candidate &it);
--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -38,7 +38,7 @@
 Indexes leastPressed(std::span<const Candidate> candidates, Indexes among,
                      std::size_t most) {
   std::ranges::stable_sort(
-      among, {}, [&](std::size_t i) { return pressure(candidates[i]); });
+      among, {}, [&](std::size_t i) { return loadPerSlot(candidates[i]); });
   among.resize(std::min(among.size(), most));
   return among;
 }
@@ -48,7 +48,7 @@
                     const Indexes &among) {
   double sum = 0;
   for (std::size_t i : among)
-    sum += pressure(candidates[i]);
+    sum += loadPerSlot(candidates[i]);
   return sum / double(among.size());
 }
 
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -48,7 +48,7 @@
   if (isFreeKnown && !question.WasSlotTaken)
     return {{*freest}, false, true, "free slot known"};
   std::ranges::stable_sort(among, {}, [&](std::size_t i) {
-    return std::pair(pressure(candidates[i]), !candidates[i].IsNear);
+    return std::pair(loadPerSlot(candidates[i]), !candidates[i].IsNear);
   });
   among.resize(std::min(among.size(), MostTickets));
   return {among, true, false, "tickets"};
--- a/src/plugins/twochoices/twochoices.cpp
+++ b/src/plugins/twochoices/twochoices.cpp
@@ -19,7 +19,7 @@
     return {{}, false, false, "no candidate"};
   std::size_t first = among[uniform(rng, among.size())];
   std::size_t second = among[uniform(rng, among.size())];
-  if (pressure(candidates[second]) < pressure(candidates[first]))
+  if (loadPerSlot(candidates[second]) < loadPerSlot(candidates[first]))
     std::swap(first, second);
   return {{first}, false, false, "less loaded of two"};
 }
