--- a/src/libhickoryglade/routerpolicy.cpp
+++ b/src/libhickoryglade/routerpolicy.cpp
@@ -24,7 +24,7 @@
   std::vector<std::size_t> all;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const Candidate &it = candidates[i];
-    if (!it.IsPathUp || it.WasTried || knownFree(it) <= 0)
+    if (!it.IsPathUp || it.WasTried || knownFreeSlots(it) <= 0)
       continue;
     if (it.State == Standing::Healthy)
       return {};
@@ -93,7 +93,7 @@
          std::max(it.Slots, 1);
 }
 
-int knownFree(const Candidate &it) {
+int knownFreeSlots(const Candidate &it) {
   if (it.Queued > 0)
     return 0;
   return std::min(it.FreeSlots, it.Slots - it.Outstanding);
--- a/src/libhickoryglade/routerpolicy.h
+++ b/src/libhickoryglade/routerpolicy.h
@@ -94,6 +94,6 @@
 double loadPerSlot(const Candidate &it);
 
 /// Certainly free slots as far as this entry knows.
-int knownFree(const Candidate &it);
+int knownFreeSlots(const Candidate &it);
 
 } // namespace hickoryglade
--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -25,7 +25,7 @@
 using Indexes = std::vector<std::size_t>;
 
 double freedom(const Candidate &it) {
-  return knownFree(it) + (it.IsLocal ? LocalBonus : 0);
+  return knownFreeSlots(it) + (it.IsLocal ? LocalBonus : 0);
 }
 
 /// The freest gate, at random among equals; they must have been shuffled.
@@ -75,7 +75,7 @@
   Indexes place = chooseFar(candidates, far, rng);
   if (question.CapacityRefusals < RefusalsBeforeAll) {
     std::size_t best = freest(candidates, place);
-    if (knownFree(candidates[best]) > 0)
+    if (knownFreeSlots(candidates[best]) > 0)
       return {{best}, false, true, "free slot elsewhere"};
   }
   Indexes targets = leastPressed(candidates, near, MostTickets / 2);
@@ -99,7 +99,7 @@
   Indexes near(among.begin(), rest.begin());
   if (!near.empty() && question.CapacityRefusals == 0) {
     std::size_t best = freest(candidates, near);
-    if (knownFree(candidates[best]) > 0)
+    if (knownFreeSlots(candidates[best]) > 0)
       return {{best}, false, true, "free slot near"};
   }
   bool isNearTried = question.CapacityRefusals > 1;
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -23,7 +23,7 @@
 constexpr double LocalBonus = 0.5;
 
 double attraction(const Candidate &it) {
-  return knownFree(it) - (it.IsNear ? 0 : FarPenalty) +
+  return knownFreeSlots(it) - (it.IsNear ? 0 : FarPenalty) +
          (it.IsLocal ? LocalBonus : 0);
 }
 
@@ -41,10 +41,10 @@
     return {{}, false, false, "no candidate"};
   shuffle(among, rng);
   auto freest = std::ranges::max_element(among, {}, [&](std::size_t i) {
-    bool isFree = knownFree(candidates[i]) >= FreeForDirectSend;
+    bool isFree = knownFreeSlots(candidates[i]) >= FreeForDirectSend;
     return std::pair(isFree, attraction(candidates[i]));
   });
-  bool isFreeKnown = knownFree(candidates[*freest]) >= FreeForDirectSend;
+  bool isFreeKnown = knownFreeSlots(candidates[*freest]) >= FreeForDirectSend;
   if (isFreeKnown && !question.WasSlotTaken)
     return {{*freest}, false, true, "free slot known"};
   std::ranges::stable_sort(among, {}, [&](std::size_t i) {
