--- a/src/libhickoryglade/routerpolicy.cpp
+++ b/src/libhickoryglade/routerpolicy.cpp
@@ -20,7 +20,8 @@
 }
 
 /// Doubtful endpoints with free slots, if no healthy one has any.
-std::vector<std::size_t> spilled(std::span<const Candidate> candidates) {
+std::vector<std::size_t>
+doubtfulWithFreeSlots(std::span<const Candidate> candidates) {
   std::vector<std::size_t> all;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const Candidate &it = candidates[i];
@@ -49,7 +50,7 @@
       return {trials[uniform(rng, trials.size())]};
   }
   if (question.MaySpill && question.IsIdempotent && !question.IsSerialized)
-    if (auto all = spilled(candidates); !all.empty())
+    if (auto all = doubtfulWithFreeSlots(candidates); !all.empty())
       return all;
   constexpr std::array<Standing, 3> order = {
       Standing::Healthy, Standing::Suspect, Standing::Trial};
