--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -82,7 +82,7 @@
   std::vector<Member *> fresh;
   for (auto &[node, member] : state.Members)
     if (member.Transmissions <
-        (member.IsWidelyTold ? DirectTransmissions : most))
+        (member.IsBroadcast ? DirectTransmissions : most))
       fresh.push_back(&member);
   std::ranges::stable_sort(fresh, {}, &Member::Transmissions);
   std::vector<MemberUpdate> updates;
@@ -138,7 +138,7 @@
   member.State = next;
   member.StateSince = now;
   member.Transmissions = 0;
-  member.IsWidelyTold = false;
+  member.IsBroadcast = false;
   ++state.Revision;
 }
 
@@ -210,7 +210,7 @@
                   message.Updates.front().Record.Node == message.Sender;
   if (!isDirect || member == state.Members.end())
     return;
-  member->second.IsWidelyTold = true;
+  member->second.IsBroadcast = true;
 }
 
 std::vector<std::string> probeTargets(const Membership &state) {
--- a/src/libhickoryglade/membership.h
+++ b/src/libhickoryglade/membership.h
@@ -62,7 +62,7 @@
   /// Times that the latest belief has been passed on.
   int Transmissions = 0;
   /// True if its subject has told many members of it itself.
-  bool IsWidelyTold = false;
+  bool IsBroadcast = false;
 };
 
 /// Membership as one node sees it, its own record included.
