--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -144,8 +144,8 @@
   std::int64_t newest = Kernel.Newest.Next;
   bool wasProbing = Kernel.Pending.has_value();
   send(receive(Kernel, *message, now()));
-  if (!Kernel.FormerDeparted.empty() && Handlers.OnDeparted)
-    Handlers.OnDeparted(std::exchange(Kernel.FormerDeparted, {}));
+  if (!Kernel.DepartedBeforeRestart.empty() && Handlers.OnDeparted)
+    Handlers.OnDeparted(std::exchange(Kernel.DepartedBeforeRestart, {}));
   // Spares the wake-up at which the probe would have been late.
   if (wasProbing && !Kernel.Pending)
     scheduleTick();
--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -147,7 +147,7 @@
   Member &own = state.Members.at(state.Self);
   if (update.Record.BootId < own.Record.BootId)
     std::ranges::copy(update.Record.Departed,
-                      std::back_inserter(state.FormerDeparted));
+                      std::back_inserter(state.DepartedBeforeRestart));
   bool isAboutThisBoot = update.Record.BootId == own.Record.BootId;
   if (!isAboutThisBoot || update.Record.Version < own.Record.Version)
     return;
--- a/src/libhickoryglade/membership.h
+++ b/src/libhickoryglade/membership.h
@@ -101,7 +101,7 @@
   SettingsHolders Newest;
 
   /// What others have told of an earlier process of this node.
-  std::vector<DepartedRecord> FormerDeparted;
+  std::vector<DepartedRecord> DepartedBeforeRestart;
 
   std::vector<std::string> ProbeOrder;
   std::int64_t NextSequence = 1;
--- a/tests/kernel/test_documents.cpp
+++ b/tests/kernel/test_documents.cpp
@@ -149,7 +149,7 @@
   for (const OutgoingGossip &it : tick(restarted, start))
     for (const OutgoingGossip &reply : receive(other, it.Message, start))
       receive(restarted, reply.Message, start);
-  CHECK(restarted.FormerDeparted == first.Departed);
+  CHECK(restarted.DepartedBeforeRestart == first.Departed);
   CHECK(restarted.Members.at("a").Record.BootId == 2);
 }
 
