--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -96,13 +96,13 @@
 }
 
 bool Control::isBehind() const {
-  return Members.state().Newest.Next > Settings.state().Next;
+  return Members.state().NewestSettings.Next > Settings.state().Next;
 }
 
 /// Members that have the newest settings, those of the own data centre if there
 /// are any.
 std::vector<std::string> Control::newestHolders() const {
-  std::vector<std::string> all = Members.state().Newest.Addresses;
+  std::vector<std::string> all = Members.state().NewestSettings.Addresses;
   std::vector<std::string> near;
   for (const Member *peer : nearPeers(Members.state()))
     if (std::ranges::find(all, peer->Record.FleetAddress) != all.end())
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -141,7 +141,7 @@
     logEvent(LogLevel::Warn, "gossip_malformed", {{"bytes", n}});
     return;
   }
-  std::int64_t newest = Kernel.Newest.Next;
+  std::int64_t newest = Kernel.NewestSettings.Next;
   bool wasProbing = Kernel.Pending.has_value();
   send(receive(Kernel, *message, now()));
   if (!Kernel.DepartedBeforeRestart.empty() && Handlers.OnDeparted)
@@ -149,7 +149,7 @@
   // Spares the wake-up at which the probe would have been late.
   if (wasProbing && !Kernel.Pending)
     scheduleTick();
-  if (Kernel.Newest.Next > newest && Handlers.OnNewerSettings)
+  if (Kernel.NewestSettings.Next > newest && Handlers.OnNewerSettings)
     Handlers.OnNewerSettings();
   takeCrashes(*gossip);
   if (gossip->isSettingsFresh && Handlers.OnFreshSettings)
--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -368,7 +368,7 @@
 constexpr std::size_t MostHolders = 8;
 
 void noteHolder(Membership &state, const GossipMessage &message) {
-  Membership::SettingsHolders &newest = state.Newest;
+  Membership::SettingsHolders &newest = state.NewestSettings;
   if (message.SettingsNext > newest.Next)
     newest = {{}, message.SettingsNext};
   bool isHolder =
--- a/src/libhickoryglade/membership.h
+++ b/src/libhickoryglade/membership.h
@@ -98,7 +98,7 @@
     std::vector<std::string> Addresses;
     std::int64_t Next = 0;
   };
-  SettingsHolders Newest;
+  SettingsHolders NewestSettings;
 
   /// What others have told of an earlier process of this node.
   std::vector<DepartedRecord> DepartedBeforeRestart;
--- a/tests/kernel/test_documents.cpp
+++ b/tests/kernel/test_documents.cpp
@@ -120,8 +120,8 @@
   for (const OutgoingGossip &it : tick(b, start))
     for (const OutgoingGossip &answer : receive(a, it.Message, start))
       receive(b, answer.Message, start);
-  CHECK(b.Newest.Next == 8);
-  CHECK(b.Newest.Addresses == std::vector<std::string>{"a"});
+  CHECK(b.NewestSettings.Next == 8);
+  CHECK(b.NewestSettings.Addresses == std::vector<std::string>{"a"});
 }
 
 TEST_CASE("found addresses are asked at once") {
