--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -203,7 +203,7 @@
 }
 
 /// A node tells all members of its own changes at once.
-void noteDirectNews(Membership &state, const GossipMessage &message) {
+void noteBroadcast(Membership &state, const GossipMessage &message) {
   auto member = state.Members.find(message.Sender);
   bool isDirect = message.Kind == GossipKind::Updates &&
                   message.Updates.size() == 1 &&
@@ -474,7 +474,7 @@
       message.Kind == GossipKind::Updates && message.Updates.size() > 1;
   for (const MemberUpdate &update : message.Updates)
     merge(state, update, isBulk, now);
-  noteDirectNews(state, message);
+  noteBroadcast(state, message);
   noteHolder(state, message);
   switch (message.Kind) {
   case GossipKind::Ping:
