--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -41,7 +41,7 @@
 
 /// News that its subject has told many members itself is passed on only this
 /// often by each.
-constexpr int DirectTransmissions = 1;
+constexpr int BroadcastTransmissions = 1;
 
 /// More than any news is passed on.
 constexpr int Settled = 1'000;
@@ -82,7 +82,7 @@
   std::vector<Member *> fresh;
   for (auto &[node, member] : state.Members)
     if (member.Transmissions <
-        (member.IsBroadcast ? DirectTransmissions : most))
+        (member.IsBroadcast ? BroadcastTransmissions : most))
       fresh.push_back(&member);
   std::ranges::stable_sort(fresh, {}, &Member::Transmissions);
   std::vector<MemberUpdate> updates;
