--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -44,7 +44,7 @@
 constexpr int BroadcastTransmissions = 1;
 
 /// More than any news is passed on.
-constexpr int Settled = 1'000;
+constexpr int FullyTransmitted = 1'000;
 
 /// Bounds a datagram; a record weighs its endpoints and itself.
 constexpr std::size_t MostWeight = 40;
@@ -183,7 +183,7 @@
     member.Record = update.Record;
   setState(state, member, update.State, now);
   if (isBulk)
-    member.Transmissions = Settled;
+    member.Transmissions = FullyTransmitted;
 }
 
 /// A node that has started again is told which endpoints it knew to have left.
