--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -57,7 +57,7 @@
   return stableHash(node) % SyncBuckets;
 }
 
-int mostTransmissions(const Membership &state) {
+int maxTransmissions(const Membership &state) {
   return TransmissionFactor * int(std::bit_width(state.Members.size() + 1));
 }
 
@@ -76,7 +76,7 @@
 /// The beliefs that have been passed on least, within a datagram's bounds.
 std::vector<MemberUpdate> freshUpdates(Membership &state,
                                        const std::string &address) {
-  int most = mostTransmissions(state);
+  int most = maxTransmissions(state);
   if (!isNear(state, address))
     most = std::min(most, FarTransmissions);
   std::vector<Member *> fresh;
