--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -47,7 +47,7 @@
 constexpr int FullyTransmitted = 1'000;
 
 /// Bounds a datagram; a record weighs its endpoints and itself.
-constexpr std::size_t MostWeight = 40;
+constexpr std::size_t MaxWeight = 40;
 
 std::size_t weightOf(const MemberUpdate &update) {
   return 2 + update.Record.Endpoints.size();
@@ -90,7 +90,7 @@
   for (Member *member : fresh) {
     MemberUpdate update{member->Record, member->State};
     weight += weightOf(update);
-    if (weight > MostWeight && !updates.empty())
+    if (weight > MaxWeight && !updates.empty())
       break;
     ++member->Transmissions;
     updates.push_back(std::move(update));
@@ -122,7 +122,7 @@
   std::size_t weight = 0;
   for (const MemberUpdate &update : updates) {
     weight += weightOf(update);
-    if (weight > MostWeight && !message.Updates.empty()) {
+    if (weight > MaxWeight && !message.Updates.empty()) {
       out.push_back({address, message});
       message.Updates.clear();
       weight = weightOf(update);
--- a/src/libhickoryglade/settingsschema.cpp
+++ b/src/libhickoryglade/settingsschema.cpp
@@ -56,7 +56,7 @@
 };
 
 constexpr std::int64_t DayMs = 86'400'000;
-constexpr std::int64_t MostWeight = 1'000'000;
+constexpr std::int64_t MaxWeight = 1'000'000;
 
 const std::vector<KeyRule> &schema() {
   using P = ServicePolicy;
@@ -236,7 +236,7 @@
 
 bool isWeight(const json &value) {
   return value.is_number_integer() && value.get<std::int64_t>() >= 0 &&
-         value.get<std::int64_t>() <= MostWeight;
+         value.get<std::int64_t>() <= MaxWeight;
 }
 
 /// A split names services of the route's workspace; some weight counts.
