--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -365,7 +365,7 @@
 
 /// Holders that are remembered of the latest settings: enough to share out
 /// those who ask.
-constexpr std::size_t MostHolders = 8;
+constexpr std::size_t MaxHolders = 8;
 
 void noteHolder(Membership &state, const GossipMessage &message) {
   Membership::SettingsHolders &newest = state.NewestSettings;
@@ -373,7 +373,7 @@
     newest = {{}, message.SettingsNext};
   bool isHolder =
       message.SettingsNext > 0 && message.SettingsNext == newest.Next;
-  if (isHolder && newest.Addresses.size() < MostHolders &&
+  if (isHolder && newest.Addresses.size() < MaxHolders &&
       std::ranges::find(newest.Addresses, message.SenderAddress) ==
           newest.Addresses.end())
     newest.Addresses.push_back(message.SenderAddress);
