--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -27,7 +27,7 @@
 
 /// Dead members are remembered this long, so that old news of them does not
 /// bring them back.
-constexpr Micros DeadMemory = std::chrono::hours(1);
+constexpr Micros DeadRetention = std::chrono::hours(1);
 
 constexpr std::size_t IndirectProbes = 3;
 
@@ -285,7 +285,7 @@
       setState(state, member, MemberState::Dead, now);
   std::erase_if(state.Members, [&](const auto &it) {
     return it.second.State == MemberState::Dead &&
-           now - it.second.StateSince > DeadMemory;
+           now - it.second.StateSince > DeadRetention;
   });
   std::erase_if(state.Relays, [&](const auto &it) { return it.Expiry <= now; });
 }
