--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -14,7 +14,7 @@
 constexpr Micros ProbePeriod = std::chrono::seconds(1);
 constexpr Micros DirectTimeout = std::chrono::milliseconds(200);
 constexpr Micros ProbeTimeout = std::chrono::milliseconds(450);
-constexpr Micros SuspicionTerm = std::chrono::seconds(3);
+constexpr Micros SuspicionTimeout = std::chrono::seconds(3);
 constexpr Micros SyncPeriod = std::chrono::seconds(5);
 
 /// A node that has just started compares with several others, and often.
@@ -281,7 +281,7 @@
 void expireBeliefs(Membership &state, Instant now) {
   for (auto &[node, member] : state.Members)
     if (member.State == MemberState::Suspect &&
-        now - member.StateSince >= SuspicionTerm)
+        now - member.StateSince >= SuspicionTimeout)
       setState(state, member, MemberState::Dead, now);
   std::erase_if(state.Members, [&](const auto &it) {
     return it.second.State == MemberState::Dead &&
@@ -440,7 +440,7 @@
   due = std::min(due, state.NextSync);
   for (const auto &[node, member] : state.Members)
     if (member.State == MemberState::Suspect)
-      due = std::min(due, member.StateSince + SuspicionTerm);
+      due = std::min(due, member.StateSince + SuspicionTimeout);
   return due;
 }
 
