--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -18,7 +18,7 @@
 constexpr Micros SyncPeriod = std::chrono::seconds(5);
 
 /// A node that has just started compares with several others, and often.
-constexpr Micros JoinTerm = std::chrono::seconds(2);
+constexpr Micros JoinPeriod = std::chrono::seconds(2);
 constexpr Micros JoinSyncPeriod = std::chrono::milliseconds(300);
 constexpr std::size_t JoinSyncs = 2;
 
@@ -343,7 +343,7 @@
 void startSync(Membership &state, Instant now,
                std::vector<OutgoingGossip> &out) {
   bool isJoining =
-      state.Members.size() <= 1 || now - state.StartedAt < JoinTerm;
+      state.Members.size() <= 1 || now - state.StartedAt < JoinPeriod;
   state.NextSync = now + (isJoining ? JoinSyncPeriod : SyncPeriod);
   std::size_t most = isJoining ? JoinSyncs : 1;
   sendSyncs(state, syncAddresses(state, isJoining), most, out);
