--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -299,7 +299,7 @@
 
 /// Seeds and members that seem dead are asked too, so that parts of a fleet
 /// that were cut off or started apart find each other.
-std::vector<std::string> strangerAddresses(const Membership &state) {
+std::vector<std::string> rejoinAddresses(const Membership &state) {
   std::vector<std::string> all;
   for (const auto &[node, member] : state.Members)
     if (member.State == MemberState::Dead && !member.Record.IsLeaving)
@@ -347,7 +347,7 @@
   state.NextSync = now + (isJoining ? JoinSyncPeriod : SyncPeriod);
   std::size_t most = isJoining ? JoinSyncs : 1;
   sendSyncs(state, syncAddresses(state, isJoining), most, out);
-  sendSyncs(state, strangerAddresses(state), most, out);
+  sendSyncs(state, rejoinAddresses(state), most, out);
 }
 
 /// Sends the records in the buckets that differ.
