--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -392,7 +392,7 @@
 
 /// A suspicion ends only by the suspect's own newer version, which the probe
 /// has asked it for.
-void takeAck(Membership &state, const GossipMessage &message) {
+void handleAck(Membership &state, const GossipMessage &message) {
   if (state.Pending && state.Pending->Sequence == message.Sequence)
     state.Pending.reset();
 }
@@ -483,7 +483,7 @@
     break;
   case GossipKind::Ack:
     relayAck(state, message, out);
-    takeAck(state, message);
+    handleAck(state, message);
     break;
   case GossipKind::PingRequest:
     probeForOther(state, message, now, out);
