--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -397,8 +397,8 @@
     state.Pending.reset();
 }
 
-void probeForOther(Membership &state, const GossipMessage &message, Instant now,
-                   std::vector<OutgoingGossip> &out) {
+void handlePingRequest(Membership &state, const GossipMessage &message,
+                       Instant now, std::vector<OutgoingGossip> &out) {
   auto it = state.Members.find(message.Target);
   if (it == state.Members.end())
     return;
@@ -486,7 +486,7 @@
     handleAck(state, message);
     break;
   case GossipKind::PingRequest:
-    probeForOther(state, message, now, out);
+    handlePingRequest(state, message, now, out);
     break;
   case GossipKind::Sync:
     answerSync(state, message, out);
