--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -263,8 +263,8 @@
                           state.Pending->Sequence, state.Pending->Target));
 }
 
-void followProbe(Membership &state, Instant now,
-                 std::vector<OutgoingGossip> &out) {
+void checkPendingProbe(Membership &state, Instant now,
+                       std::vector<OutgoingGossip> &out) {
   if (!state.Pending)
     return;
   Micros age = now - state.Pending->SentAt;
@@ -457,7 +457,7 @@
 
 std::vector<OutgoingGossip> tick(Membership &state, Instant now) {
   std::vector<OutgoingGossip> out;
-  followProbe(state, now, out);
+  checkPendingProbe(state, now, out);
   expireBeliefs(state, now);
   if (now >= state.NextProbe && !state.Pending)
     startProbe(state, now, out);
