--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -278,7 +278,7 @@
   state.Pending.reset();
 }
 
-void expireBeliefs(Membership &state, Instant now) {
+void expireStates(Membership &state, Instant now) {
   for (auto &[node, member] : state.Members)
     if (member.State == MemberState::Suspect &&
         now - member.StateSince >= SuspicionTimeout)
@@ -458,7 +458,7 @@
 std::vector<OutgoingGossip> tick(Membership &state, Instant now) {
   std::vector<OutgoingGossip> out;
   checkPendingProbe(state, now, out);
-  expireBeliefs(state, now);
+  expireStates(state, now);
   if (now >= state.NextProbe && !state.Pending)
     startProbe(state, now, out);
   if (now >= state.NextSync)
