--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -187,8 +187,8 @@
 }
 
 /// A node that has started again is told which endpoints it knew to have left.
-void remindOfDeparted(const Membership &state, const GossipMessage &message,
-                      std::vector<OutgoingGossip> &out) {
+void sendDeparted(const Membership &state, const GossipMessage &message,
+                  std::vector<OutgoingGossip> &out) {
   auto member = state.Members.find(message.Sender);
   if (member == state.Members.end() || message.Sender == state.Self ||
       member->second.Record.Departed.empty())
@@ -469,7 +469,7 @@
 std::vector<OutgoingGossip> receive(Membership &state,
                                     const GossipMessage &message, Instant now) {
   std::vector<OutgoingGossip> out;
-  remindOfDeparted(state, message, out);
+  sendDeparted(state, message, out);
   bool isBulk =
       message.Kind == GossipKind::Updates && message.Updates.size() > 1;
   for (const MemberUpdate &update : message.Updates)
