--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -60,7 +60,7 @@
 
 void MembershipService::describe(const MemberRecord &record, bool isUrgent) {
   std::int64_t before = Kernel.Revision;
-  describeSelf(Kernel, record);
+  updateSelf(Kernel, record);
   if (isUrgent && Kernel.Revision != before)
     send(spreadNow(Kernel, UrgentFanOut));
   reportChange();
--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -444,7 +444,7 @@
   return due;
 }
 
-void describeSelf(Membership &state, MemberRecord record) {
+void updateSelf(Membership &state, MemberRecord record) {
   Member &own = state.Members.at(state.Self);
   record.Version = own.Record.Version;
   if (record == own.Record)
--- a/src/libhickoryglade/membership.h
+++ b/src/libhickoryglade/membership.h
@@ -123,7 +123,7 @@
 Instant nextDue(const Membership &state);
 
 /// Replaces the own record; its version is raised if anything changed.
-void describeSelf(Membership &state, MemberRecord record);
+void updateSelf(Membership &state, MemberRecord record);
 
 /// Probes, suspicions and anti-entropy that are due.
 std::vector<OutgoingGossip> tick(Membership &state, Instant now);
--- a/tests/kernel/test_membership.cpp
+++ b/tests/kernel/test_membership.cpp
@@ -96,7 +96,7 @@
   Net net = fleetOf(16);
   MemberRecord record = net.Nodes.at("c").Members.at("c").Record;
   record.SettingsNext = 42;
-  describeSelf(net.Nodes.at("c"), record);
+  updateSelf(net.Nodes.at("c"), record);
   net.run(std::chrono::seconds(5));
   for (auto &[name, node] : net.Nodes)
     CHECK(node.Members.at("c").Record.SettingsNext == 42);
