--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -62,7 +62,7 @@
   std::int64_t before = Kernel.Revision;
   updateSelf(Kernel, record);
   if (isUrgent && Kernel.Revision != before)
-    send(spreadNow(Kernel, UrgentFanOut));
+    send(broadcastSelf(Kernel, UrgentFanOut));
   reportChange();
 }
 
--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -497,7 +497,8 @@
   return out;
 }
 
-std::vector<OutgoingGossip> spreadNow(Membership &state, std::size_t fanOut) {
+std::vector<OutgoingGossip> broadcastSelf(Membership &state,
+                                          std::size_t fanOut) {
   std::vector<const Member *> targets = peers(state);
   std::ranges::shuffle(targets, state.Rng);
   targets.resize(std::min(targets.size(), fanOut));
--- a/src/libhickoryglade/membership.h
+++ b/src/libhickoryglade/membership.h
@@ -133,7 +133,8 @@
 
 /// Messages that tell several members of the latest changes at once instead
 /// of waiting for the next probes.
-std::vector<OutgoingGossip> spreadNow(Membership &state, std::size_t fanOut);
+std::vector<OutgoingGossip> broadcastSelf(Membership &state,
+                                          std::size_t fanOut);
 
 /// Members other than this node that are not known to be dead or leaving.
 std::vector<const Member *> peers(const Membership &state);
