--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -184,7 +184,7 @@
   bool isPromised = co_await Handlers.AskVoucher(successor);
   if (!isPromised)
     co_return;
-  noteVoucher(Agent, asked);
+  noteSuccessorPromise(Agent, asked);
   Handlers.OnChange();
 }
 
--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -85,7 +85,7 @@
 
 void noteRead(LeaseAgent &agent, Instant beganAt) { agent.ReadAt = beganAt; }
 
-void noteVoucher(LeaseAgent &agent, Instant askedAt) {
+void noteSuccessorPromise(LeaseAgent &agent, Instant askedAt) {
   agent.VouchedAt = askedAt;
 }
 
--- a/src/libhickoryglade/leasepolicy.h
+++ b/src/libhickoryglade/leasepolicy.h
@@ -45,7 +45,7 @@
 
 /// Notes that the successor promised not to challenge this keeper; the
 /// promise was asked for at the given time.
-void noteVoucher(LeaseAgent &agent, Instant askedAt);
+void noteSuccessorPromise(LeaseAgent &agent, Instant askedAt);
 
 /// Folds one record and gives what changed.
 std::vector<LeaseEvent> takeRecord(LeaseAgent &agent, std::int64_t offset,
