--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -176,7 +176,8 @@
 asio::awaitable<void> LeaseService::seekVoucher() {
   bool isKeeper = isHeldBy(Agent.Ledger, Keeper, Agent.Self);
   bool isFresh = Agent.ReadAt && now() - *Agent.ReadAt < VoucherAfter;
-  bool isVouched = Agent.VouchedAt && now() - *Agent.VouchedAt < VoucherAfter;
+  bool isVouched = Agent.SuccessorPromisedAt &&
+                   now() - *Agent.SuccessorPromisedAt < VoucherAfter;
   std::string successor = keeperSuccessor(Agent.Ledger, Agent.Self.Node);
   if (!isKeeper || isFresh || isVouched || successor.empty())
     co_return;
--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -86,7 +86,7 @@
 void noteRead(LeaseAgent &agent, Instant beganAt) { agent.ReadAt = beganAt; }
 
 void noteSuccessorPromise(LeaseAgent &agent, Instant askedAt) {
-  agent.VouchedAt = askedAt;
+  agent.SuccessorPromisedAt = askedAt;
 }
 
 std::vector<LeaseEvent> takeRecord(LeaseAgent &agent, std::int64_t offset,
@@ -109,8 +109,9 @@
   if (!isHeldBy(agent.Ledger, subject, agent.Self))
     return std::nullopt;
   std::optional<Instant> from = agent.ReadAt;
-  if (subject.Kind == LeaseKind::Keeper && agent.VouchedAt)
-    from = std::max(from.value_or(*agent.VouchedAt), *agent.VouchedAt);
+  if (subject.Kind == LeaseKind::Keeper && agent.SuccessorPromisedAt)
+    from = std::max(from.value_or(*agent.SuccessorPromisedAt),
+                    *agent.SuccessorPromisedAt);
   if (!from)
     return std::nullopt;
   return *from + LeaseTerm;
--- a/src/libhickoryglade/leasepolicy.h
+++ b/src/libhickoryglade/leasepolicy.h
@@ -30,7 +30,7 @@
   /// When the last read that succeeded began.
   std::optional<Instant> ReadAt;
   /// When the last voucher was asked for that the successor has given.
-  std::optional<Instant> VouchedAt;
+  std::optional<Instant> SuccessorPromisedAt;
   /// Challenges of our own, by subject: when the log had taken them.
   std::map<LeaseSubject, Instant> Challenges;
   /// Promises not to challenge a keeper before the given time.
