--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -97,7 +97,7 @@
       agent.Challenges[it.Subject] = now;
     else
       agent.Challenges.erase(it.Subject);
-    agent.Written.erase(it.Subject);
+    agent.UnreadRecords.erase(it.Subject);
     if (it.What == LeaseEvent::Change::Granted)
       agent.RenewedAt[it.Subject] = now;
   }
@@ -136,14 +136,14 @@
                                        Instant now) {
   std::vector<LeaseRecord> due;
   for (const auto &[subject, lease] : agent.Ledger.Leases) {
-    auto written = agent.Written.find(subject);
-    bool isUnread =
-        written != agent.Written.end() && now - written->second < LeaseTerm;
+    auto written = agent.UnreadRecords.find(subject);
+    bool isUnread = written != agent.UnreadRecords.end() &&
+                    now - written->second < LeaseTerm;
     if (!isGone(agent, members, lease.Holder, now) || isUnread ||
         !isOurTask(agent, subject, members))
       continue;
     if (auto record = actAgainst(agent, subject, lease, now)) {
-      agent.Written[subject] = now;
+      agent.UnreadRecords[subject] = now;
       due.push_back(std::move(*record));
     }
   }
@@ -154,8 +154,8 @@
   LeaseSubject subject{LeaseKind::Keeper, "", keeper.Node};
   bool isSuccessor =
       keeperSuccessor(agent.Ledger, keeper.Node) == agent.Self.Node;
-  auto written = agent.Written.find(subject);
-  bool hasActed = written != agent.Written.end() &&
+  auto written = agent.UnreadRecords.find(subject);
+  bool hasActed = written != agent.UnreadRecords.end() &&
                   now - written->second < 2 * ChallengeTerm;
   if (!isSuccessor || hasActed || !isHeldBy(agent.Ledger, subject, keeper) ||
       agent.Ledger.Leases.at(subject).ChallengedAt)
--- a/src/libhickoryglade/leasepolicy.h
+++ b/src/libhickoryglade/leasepolicy.h
@@ -37,7 +37,7 @@
   std::map<std::string, Instant> Promises;
   std::map<LeaseSubject, Instant> RenewedAt;
   /// Challenges that we have written but not yet read back.
-  std::map<LeaseSubject, Instant> Written;
+  std::map<LeaseSubject, Instant> UnreadRecords;
 };
 
 /// Notes a read of the stream that began at a given time and has succeeded.
--- a/tests/kernel/test_leases.cpp
+++ b/tests/kernel/test_leases.cpp
@@ -150,7 +150,7 @@
   agent.StartedAt = at(100);
   CHECK(dueChallenges(agent, {}, at(101)).empty());
   CHECK(dueChallenges(agent, {}, at(161)).size() == 1);
-  agent.Written.clear();
+  agent.UnreadRecords.clear();
   CHECK(dueChallenges(agent, {{{"unheard", 2}, 0}}, at(101)).size() == 1);
 }
 
