--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -36,7 +36,7 @@
             const LeaseHolder &holder, Instant now) {
   const LedgerMember *member = findMember(members, holder.Node);
   if (!member)
-    return now - agent.StartedAt > UnknownTerm;
+    return now - agent.StartedAt > UnknownHolderTimeout;
   return member->Holder.BootId > holder.BootId ||
          (member->IsDead && member->Holder == holder);
 }
--- a/src/libhickoryglade/leasepolicy.h
+++ b/src/libhickoryglade/leasepolicy.h
@@ -59,7 +59,7 @@
 std::vector<LeaseRecord> dueRenewals(LeaseAgent &agent, Instant now);
 
 /// A holder of which no member has been heard for this long is gone.
-constexpr Micros UnknownTerm = std::chrono::seconds(60);
+constexpr Micros UnknownHolderTimeout = std::chrono::seconds(60);
 
 /// A member as far as the ledger is concerned.
 struct LedgerMember {
