--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -58,8 +58,8 @@
 
 /// Only a keeper's successor acts against it; against the holder of an
 /// ejection anyone may, and the first record counts.
-bool isOurTask(const LeaseAgent &agent, const LeaseSubject &subject,
-               const std::vector<LedgerMember> &members) {
+bool isResponsible(const LeaseAgent &agent, const LeaseSubject &subject,
+                   const std::vector<LedgerMember> &members) {
   return subject.Kind != LeaseKind::Keeper ||
          (keeperSuccessor(agent.Ledger, subject.Name) == agent.Self.Node &&
           hasTakenOver(agent, subject.Name, members));
@@ -140,7 +140,7 @@
     bool isUnread = written != agent.UnreadRecords.end() &&
                     now - written->second < LeaseTerm;
     if (!isGone(agent, members, lease.Holder, now) || isUnread ||
-        !isOurTask(agent, subject, members))
+        !isResponsible(agent, subject, members))
       continue;
     if (auto record = actAgainst(agent, subject, lease, now)) {
       agent.UnreadRecords[subject] = now;
