--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -65,9 +65,9 @@
           hasTakenOver(agent, subject.Name, members));
 }
 
-std::optional<LeaseRecord> actAgainst(const LeaseAgent &agent,
-                                      const LeaseSubject &subject,
-                                      const Lease &lease, Instant now) {
+std::optional<LeaseRecord> challengeOrEvict(const LeaseAgent &agent,
+                                            const LeaseSubject &subject,
+                                            const Lease &lease, Instant now) {
   if (isPromised(agent, subject, now))
     return std::nullopt;
   if (!lease.ChallengedAt)
@@ -142,7 +142,7 @@
     if (!isGone(agent, members, lease.Holder, now) || isUnread ||
         !isResponsible(agent, subject, members))
       continue;
-    if (auto record = actAgainst(agent, subject, lease, now)) {
+    if (auto record = challengeOrEvict(agent, subject, lease, now)) {
       agent.UnreadRecords[subject] = now;
       due.push_back(std::move(*record));
     }
