--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -78,7 +78,7 @@
     backoff = FirstBackoff;
     for (const LogRecord &record : result.Records)
       for (const LeaseEvent &it :
-           takeRecord(Agent, record.Offset, record.Data, now())) {
+           applyLeaseRecord(Agent, record.Offset, record.Data, now())) {
         logEvent(LogLevel::Info, "lease",
                  {{"what", toString(it.What)},
                   {"subject", it.Subject.Name},
--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -89,8 +89,8 @@
   agent.SuccessorPromisedAt = askedAt;
 }
 
-std::vector<LeaseEvent> takeRecord(LeaseAgent &agent, std::int64_t offset,
-                                   const std::string &data, Instant now) {
+std::vector<LeaseEvent> applyLeaseRecord(LeaseAgent &agent, std::int64_t offset,
+                                         const std::string &data, Instant now) {
   std::vector<LeaseEvent> events = foldLease(agent.Ledger, offset, data);
   for (const LeaseEvent &it : events) {
     if (it.What == LeaseEvent::Change::Challenged)
--- a/src/libhickoryglade/leasepolicy.h
+++ b/src/libhickoryglade/leasepolicy.h
@@ -48,8 +48,8 @@
 void noteSuccessorPromise(LeaseAgent &agent, Instant askedAt);
 
 /// Folds one record and gives what changed.
-std::vector<LeaseEvent> takeRecord(LeaseAgent &agent, std::int64_t offset,
-                                   const std::string &data, Instant now);
+std::vector<LeaseEvent> applyLeaseRecord(LeaseAgent &agent, std::int64_t offset,
+                                         const std::string &data, Instant now);
 
 /// End of a lease of our own by our clock; nothing if it is not held.
 std::optional<Instant> leaseEnd(const LeaseAgent &agent,
--- a/tests/kernel/test_leases.cpp
+++ b/tests/kernel/test_leases.cpp
@@ -63,7 +63,8 @@
 TEST_CASE("a holder that pauses and wakes finds its lease over") {
   LeaseAgent agent;
   agent.Self = {"n1", 1};
-  takeRecord(agent, 0, encodeLease(acquire(EndpointA, "n1", {"b"}, 1)), at(0));
+  applyLeaseRecord(agent, 0, encodeLease(acquire(EndpointA, "n1", {"b"}, 1)),
+                   at(0));
   noteRead(agent, at(1));
   REQUIRE(leaseEnd(agent, EndpointA));
   CHECK(*leaseEnd(agent, EndpointA) == at(1) + LeaseTerm);
@@ -78,12 +79,12 @@
   auto due = dueChallenges(agent, members, at(0));
   REQUIRE(due.size() == 1);
   CHECK(due[0].Action == LeaseAction::Challenge);
-  takeRecord(agent, 1, encodeLease(due[0]), at(1));
+  applyLeaseRecord(agent, 1, encodeLease(due[0]), at(1));
   CHECK(dueChallenges(agent, members, at(10)).empty());
   due = dueChallenges(agent, members, at(1) + ChallengeTerm);
   REQUIRE(due.size() == 1);
   CHECK(due[0].Action == LeaseAction::Evict);
-  takeRecord(agent, 2, encodeLease(due[0]), at(17));
+  applyLeaseRecord(agent, 2, encodeLease(due[0]), at(17));
   CHECK(agent.Ledger.Leases.empty());
 }
 
@@ -94,15 +95,15 @@
   LeaseAgent other = agentOf("n2", ledger);
   auto challenge = dueChallenges(other, {{{"n1", 1}, 0, true}}, at(0));
   std::string bytes = encodeLease(challenge.at(0));
-  takeRecord(holder, 1, bytes, at(1));
-  takeRecord(other, 1, bytes, at(1));
+  applyLeaseRecord(holder, 1, bytes, at(1));
+  applyLeaseRecord(other, 1, bytes, at(1));
   auto renewals = dueRenewals(holder, at(1));
   REQUIRE(renewals.size() == 1);
-  takeRecord(other, 2, encodeLease(renewals[0]), at(2));
+  applyLeaseRecord(other, 2, encodeLease(renewals[0]), at(2));
   LeaseRecord evict = challenge[0];
   evict.Action = LeaseAction::Evict;
   evict.ChallengedAt = 1;
-  CHECK(takeRecord(other, 3, encodeLease(evict), at(30)).empty());
+  CHECK(applyLeaseRecord(other, 3, encodeLease(evict), at(30)).empty());
   CHECK(isHeldBy(other.Ledger, EndpointA, {"n1", 1}));
 }
 
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -152,7 +152,7 @@
     return;
   for (std::size_t i = std::size_t(node.Agent.Ledger.Next);
        i < LeaseLog.size() && LeaseLog[i].first <= Now; ++i)
-    takeRecord(node.Agent, std::int64_t(i), LeaseLog[i].second, Now);
+    applyLeaseRecord(node.Agent, std::int64_t(i), LeaseLog[i].second, Now);
   noteRead(node.Agent, Now);
   for (std::size_t i = std::size_t(node.Settings.Next);
        i < SettingsRecords.size() && SettingsRecords[i].first <= Now; ++i) {
