--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -183,7 +183,8 @@
       }
       asked.push_back(holder);
     }
-    auto more = Placement.witnesses(request.record.key, asked, lifetime, now());
+    auto more = Placement.formerKeepersToQuery(request.record.key, asked,
+                                               lifetime, now());
     if (!more)
       co_return KeyVerdict::Unvouched;
     if (more->empty())
--- a/src/libhickoryglade/keyplacement.cpp
+++ b/src/libhickoryglade/keyplacement.cpp
@@ -29,9 +29,9 @@
 const std::vector<LeaseHolder> &KeyPlacement::current() const { return Roster; }
 
 std::optional<std::vector<LeaseHolder>>
-KeyPlacement::witnesses(const std::string &key,
-                        const std::vector<LeaseHolder> &asked, Micros lifetime,
-                        Instant now) const {
+KeyPlacement::formerKeepersToQuery(const std::string &key,
+                                   const std::vector<LeaseHolder> &asked,
+                                   Micros lifetime, Instant now) const {
   std::vector<LeaseHolder> more;
   auto contains = [](const std::vector<LeaseHolder> &all,
                      const LeaseHolder &it) {
--- a/src/libhickoryglade/keyplacement.h
+++ b/src/libhickoryglade/keyplacement.h
@@ -32,8 +32,9 @@
   /// used within its lifetime would surely be known: one of its places in
   /// each roster of that time. Nothing if a roster's places are all lost.
   std::optional<std::vector<LeaseHolder>>
-  witnesses(const std::string &key, const std::vector<LeaseHolder> &asked,
-            Micros lifetime, Instant now) const;
+  formerKeepersToQuery(const std::string &key,
+                       const std::vector<LeaseHolder> &asked, Micros lifetime,
+                       Instant now) const;
 
   /// Forgets rosters that ended longer ago than the longest lifetime.
   void forget(Micros longestLifetime, Instant now);
--- a/tests/kernel/test_keys.cpp
+++ b/tests/kernel/test_keys.cpp
@@ -99,13 +99,13 @@
   KeyPlacement crashed;
   crashed.note(all, {}, at(0));
   crashed.note(rest, {}, at(10));
-  CHECK(!crashed.witnesses("key", asked, seconds(600), at(20)));
-  CHECK(crashed.witnesses("key", asked, seconds(600), at(700)));
+  CHECK(!crashed.formerKeepersToQuery("key", asked, seconds(600), at(20)));
+  CHECK(crashed.formerKeepersToQuery("key", asked, seconds(600), at(700)));
 
   KeyPlacement left;
   left.note(all, {}, at(0));
   left.note(rest, {ranked[0]}, at(10));
-  auto more = left.witnesses("key", asked, seconds(600), at(20));
+  auto more = left.formerKeepersToQuery("key", asked, seconds(600), at(20));
   REQUIRE(more);
   CHECK(more->empty());
 }
@@ -117,8 +117,8 @@
   KeyPlacement placement;
   placement.note(before, {}, at(0));
   placement.note(all, {}, at(10));
-  auto more =
-      placement.witnesses("key", {ranked[0], ranked[1]}, seconds(600), at(20));
+  auto more = placement.formerKeepersToQuery("key", {ranked[0], ranked[1]},
+                                             seconds(600), at(20));
   REQUIRE(more);
   REQUIRE(more->size() == 1);
   CHECK(more->front() == ranked[2]);
@@ -132,5 +132,5 @@
   KeyPlacement placement;
   placement.note(all, {}, at(0));
   placement.note(restarted, {}, at(5));
-  CHECK(!placement.witnesses("key", restarted, seconds(600), at(6)));
+  CHECK(!placement.formerKeepersToQuery("key", restarted, seconds(600), at(6)));
 }
