--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -126,7 +126,7 @@
 wire::KeyReply KeyService::replyFor(const KeyEntry &entry,
                                     const wire::KeyRecord &record) const {
   KeyVerdict verdict =
-      judgeKey(entry, record.requestId, std::uint64_t(record.fingerprint));
+      evaluateKey(entry, record.requestId, std::uint64_t(record.fingerprint));
   wire::KeyReply reply = verdictReply(verdict);
   if (verdict == KeyVerdict::Done)
     reply.__set_record(toRecord(record.key, entry));
--- a/src/libhickoryglade/keytable.cpp
+++ b/src/libhickoryglade/keytable.cpp
@@ -72,8 +72,8 @@
   }
 }
 
-KeyVerdict judgeKey(const KeyEntry &entry, const std::string &requestId,
-                    std::uint64_t fingerprint) {
+KeyVerdict evaluateKey(const KeyEntry &entry, const std::string &requestId,
+                       std::uint64_t fingerprint) {
   if (entry.Fingerprint != fingerprint)
     return KeyVerdict::Reused;
   switch (entry.State) {
--- a/src/libhickoryglade/keytable.h
+++ b/src/libhickoryglade/keytable.h
@@ -88,7 +88,7 @@
 };
 
 /// Verdict for a request that meets an entry.
-KeyVerdict judgeKey(const KeyEntry &entry, const std::string &requestId,
-                    std::uint64_t fingerprint);
+KeyVerdict evaluateKey(const KeyEntry &entry, const std::string &requestId,
+                       std::uint64_t fingerprint);
 
 } // namespace hickoryglade
--- a/tests/kernel/test_keys.cpp
+++ b/tests/kernel/test_keys.cpp
@@ -40,9 +40,9 @@
   KeyTable table;
   table.put("k", running("r1"));
   const KeyEntry &entry = table.put("k", running("r2"));
-  CHECK(judgeKey(entry, "r2", 1) == KeyVerdict::Running);
-  CHECK(judgeKey(entry, "r1", 1) == KeyVerdict::Granted);
-  CHECK(judgeKey(entry, "r1", 2) == KeyVerdict::Reused);
+  CHECK(evaluateKey(entry, "r2", 1) == KeyVerdict::Running);
+  CHECK(evaluateKey(entry, "r1", 1) == KeyVerdict::Granted);
+  CHECK(evaluateKey(entry, "r1", 2) == KeyVerdict::Reused);
 }
 
 TEST_CASE("what has ended stays ended") {
@@ -50,7 +50,7 @@
   table.put("k", running("r1"));
   table.put("k", done("r1", 10));
   const KeyEntry &entry = table.put("k", running("r1"));
-  CHECK(judgeKey(entry, "r1", 1) == KeyVerdict::Done);
+  CHECK(evaluateKey(entry, "r1", 1) == KeyVerdict::Done);
   table.release("k", "r1");
   CHECK(table.find("k") != nullptr);
 }
@@ -68,12 +68,12 @@
 TEST_CASE("answers are bounded, the fact that the work has run is kept") {
   KeyTable table;
   table.put("big", done("r1", KeyTable::MostAnswerBytes + 1));
-  CHECK(judgeKey(*table.find("big"), "r2", 1) == KeyVerdict::AnswerGone);
+  CHECK(evaluateKey(*table.find("big"), "r2", 1) == KeyVerdict::AnswerGone);
   int n = int(KeyTable::MostBytes / KeyTable::MostAnswerBytes) + 2;
   for (int i = 0; i < n; ++i)
     table.put("k" + std::to_string(i), done("r", KeyTable::MostAnswerBytes));
-  CHECK(judgeKey(*table.find("k0"), "r2", 1) == KeyVerdict::AnswerGone);
-  CHECK(judgeKey(*table.find("k" + std::to_string(n - 1)), "r2", 1) ==
+  CHECK(evaluateKey(*table.find("k0"), "r2", 1) == KeyVerdict::AnswerGone);
+  CHECK(evaluateKey(*table.find("k" + std::to_string(n - 1)), "r2", 1) ==
         KeyVerdict::Done);
 }
 
