--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -159,7 +159,7 @@
       request.operation = wire::KeyOperation::RELEASE;
   } else {
     const auto &answer = std::get<HttpAnswer>(result);
-    bool isKept = answer.Content->size() <= KeyTable::MostAnswerBytes;
+    bool isKept = answer.Content->size() <= KeyTable::MaxAnswerBytes;
     request.record.state = int(isKept ? KeyState::Done : KeyState::AnswerGone);
     if (isKept) {
       request.record.answer.status = answer.Status;
--- a/src/libhickoryglade/keytable.cpp
+++ b/src/libhickoryglade/keytable.cpp
@@ -11,7 +11,7 @@
 
 /// An answer that is too large to keep leaves only the fact that it was given.
 KeyEntry bounded(KeyEntry entry) {
-  if (bytesOf(entry) <= KeyTable::MostAnswerBytes)
+  if (bytesOf(entry) <= KeyTable::MaxAnswerBytes)
     return entry;
   entry.Answer = nullptr;
   entry.State = KeyState::AnswerGone;
@@ -61,7 +61,7 @@
 
 /// Drops the answers that expire first; that the work has run stays known.
 void KeyTable::shrink() {
-  for (auto it = ByExpiry.begin(); it != ByExpiry.end() && Bytes > MostBytes;
+  for (auto it = ByExpiry.begin(); it != ByExpiry.end() && Bytes > MaxBytes;
        ++it) {
     auto entry = Entries.find(it->second);
     if (entry == Entries.end() || !entry->second.Answer)
--- a/src/libhickoryglade/keytable.h
+++ b/src/libhickoryglade/keytable.h
@@ -62,8 +62,8 @@
 class KeyTable {
 public:
   /// Greatest answer that is kept, and all of them together.
-  static constexpr std::size_t MostAnswerBytes = 64 * 1024;
-  static constexpr std::size_t MostBytes = 8 * 1024 * 1024;
+  static constexpr std::size_t MaxAnswerBytes = 64 * 1024;
+  static constexpr std::size_t MaxBytes = 8 * 1024 * 1024;
 
   const KeyEntry *find(const std::string &key) const;
 
--- a/tests/kernel/test_keys.cpp
+++ b/tests/kernel/test_keys.cpp
@@ -67,11 +67,11 @@
 
 TEST_CASE("answers are bounded, the fact that the work has run is kept") {
   KeyTable table;
-  table.put("big", done("r1", KeyTable::MostAnswerBytes + 1));
+  table.put("big", done("r1", KeyTable::MaxAnswerBytes + 1));
   CHECK(evaluateKey(*table.find("big"), "r2", 1) == KeyVerdict::AnswerGone);
-  int n = int(KeyTable::MostBytes / KeyTable::MostAnswerBytes) + 2;
+  int n = int(KeyTable::MaxBytes / KeyTable::MaxAnswerBytes) + 2;
   for (int i = 0; i < n; ++i)
-    table.put("k" + std::to_string(i), done("r", KeyTable::MostAnswerBytes));
+    table.put("k" + std::to_string(i), done("r", KeyTable::MaxAnswerBytes));
   CHECK(evaluateKey(*table.find("k0"), "r2", 1) == KeyVerdict::AnswerGone);
   CHECK(evaluateKey(*table.find("k" + std::to_string(n - 1)), "r2", 1) ==
         KeyVerdict::Done);
