--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -180,7 +180,7 @@
 
 void SettingsService::merge(const SettingsState &peer) {
   bool isChanged =
-      Source ? takeSnapshot(Folded, peer) : mergeSnapshot(Folded, peer);
+      Source ? adoptSnapshot(Folded, peer) : mergeSnapshot(Folded, peer);
   bool isFirst = !Loaded;
   Loaded = true;
   if (isChanged || isFirst)
--- a/src/libhickoryglade/settingslog.cpp
+++ b/src/libhickoryglade/settingslog.cpp
@@ -196,7 +196,7 @@
   return isChanged;
 }
 
-bool takeSnapshot(SettingsState &state, const SettingsState &peer) {
+bool adoptSnapshot(SettingsState &state, const SettingsState &peer) {
   if (peer.Next <= state.Next)
     return false;
   state.Next = peer.Next;
--- a/src/libhickoryglade/settingslog.h
+++ b/src/libhickoryglade/settingslog.h
@@ -113,7 +113,7 @@
 
 /// Takes a peer's tree in place of the own if it comes from a later document.
 /// Returns true if it did.
-bool takeSnapshot(SettingsState &state, const SettingsState &peer);
+bool adoptSnapshot(SettingsState &state, const SettingsState &peer);
 
 /// Puts a checked document in the place of the tree. Returns false, and changes
 /// nothing, if its version is not above the one in force.
--- a/tests/kernel/test_documents.cpp
+++ b/tests/kernel/test_documents.cpp
@@ -59,12 +59,12 @@
   replaceTree(behind, document(4, "a"));
   SettingsState fresh;
   replaceTree(fresh, document(11, "b"));
-  CHECK(takeSnapshot(behind, fresh));
+  CHECK(adoptSnapshot(behind, fresh));
   CHECK(serviceAt(behind) == "w/b");
   CHECK(RouteTable(behind.Tree).size() == 1);
   SettingsState old;
   replaceTree(old, document(4, "a"));
-  CHECK_FALSE(takeSnapshot(behind, old));
+  CHECK_FALSE(adoptSnapshot(behind, old));
   CHECK(serviceAt(behind) == "w/b");
 }
 
