--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -213,8 +213,8 @@
   co_return std::nullopt;
 }
 
-RecordPlace SettingsService::oldestSafe() const {
-  RecordPlace place;
+RecordPosition SettingsService::oldestSafe() const {
+  RecordPosition place;
   if (FirstKept > 0)
     place.Offset = FirstKept + (Folded.Next - FirstKept) / RefreshedPart;
   place.AtMs = wallMicros() / 1'000 - Retention.count() / RefreshedAge;
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -63,7 +63,7 @@
   asio::awaitable<void> takeDocuments();
   void takeDocument(const SettingsUpdate &update);
   asio::awaitable<void> refresh();
-  RecordPlace oldestSafe() const;
+  RecordPosition oldestSafe() const;
   asio::awaitable<void> pause(Millis wait);
   void noteReachable(bool isReachable);
   void reportChange();
--- a/src/libhickoryglade/settingslog.cpp
+++ b/src/libhickoryglade/settingslog.cpp
@@ -184,7 +184,7 @@
     state.Tree.Nodes[path] = node;
     auto place = peer.LastWritten.find(path);
     state.LastWritten[path] = place == peer.LastWritten.end()
-                                  ? RecordPlace{node.Revision - 1, 0}
+                                  ? RecordPosition{node.Revision - 1, 0}
                                   : place->second;
     state.Provisional.erase(path);
     isChanged = true;
@@ -240,7 +240,7 @@
 }
 
 std::optional<SettingsRefresh> dueRefresh(const SettingsState &state,
-                                          const RecordPlace &oldestSafe) {
+                                          const RecordPosition &oldestSafe) {
   auto isDue = [&](const auto &it) {
     return it.second.Offset < oldestSafe.Offset ||
            it.second.AtMs < oldestSafe.AtMs;
--- a/src/libhickoryglade/settingslog.h
+++ b/src/libhickoryglade/settingslog.h
@@ -57,11 +57,11 @@
 };
 
 /// Where and when a path's newest record was written.
-struct RecordPlace {
+struct RecordPosition {
   std::int64_t Offset = 0;
   std::int64_t AtMs = 0;
 
-  bool operator==(const RecordPlace &) const = default;
+  bool operator==(const RecordPosition &) const = default;
 };
 
 /// Result of folding the settings stream up to an offset.
@@ -70,7 +70,7 @@
   /// Offset of the next record to fold.
   std::int64_t Next = 0;
   /// Each path's newest record, for refreshing.
-  std::map<std::string, RecordPlace> LastWritten;
+  std::map<std::string, RecordPosition> LastWritten;
   /// Paths whose change was accepted without knowledge of its base.
   std::map<std::string, std::int64_t> Provisional;
   /// Verdicts by change id, oldest dropped first.
@@ -125,7 +125,7 @@
 /// The value that most needs to be written again because its newest record
 /// is below the given place in offset or in time, if any.
 std::optional<SettingsRefresh> dueRefresh(const SettingsState &state,
-                                          const RecordPlace &oldestSafe);
+                                          const RecordPosition &oldestSafe);
 
 std::string_view toString(ChangeOutcome outcome);
 
