--- a/src/libhickoryglade/settingslog.cpp
+++ b/src/libhickoryglade/settingslog.cpp
@@ -54,7 +54,8 @@
 /// Revisions start at 1 so that 0 means "never set": offset + 1.
 std::int64_t revisionAt(std::int64_t offset) { return offset + 1; }
 
-ChangeVerdict judge(const SettingsState &state, const SettingsChange &change) {
+ChangeVerdict evaluateChange(const SettingsState &state,
+                             const SettingsChange &change) {
   ChangeVerdict verdict{change.Id,
                         change.Path,
                         ChangeOutcome::Accepted,
@@ -83,7 +84,7 @@
     result.Verdict = it->second;
     return result;
   }
-  ChangeVerdict verdict = judge(state, change);
+  ChangeVerdict verdict = evaluateChange(state, change);
   if (verdict.Outcome == ChangeOutcome::Accepted) {
     bool isUncertain = state.StartedLate && verdict.Revision == 0;
     verdict.Revision = revisionAt(offset);
