--- a/src/libhickoryglade/settingslog.cpp
+++ b/src/libhickoryglade/settingslog.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t MaxVerdicts = 4'096;
 
-void remember(SettingsState &state, const ChangeVerdict &verdict) {
+void recordVerdict(SettingsState &state, const ChangeVerdict &verdict) {
   if (state.VerdictOrder.size() >= MaxVerdicts) {
     state.Verdicts.erase(state.VerdictOrder.front());
     state.VerdictOrder.erase(state.VerdictOrder.begin());
@@ -94,7 +94,7 @@
       state.Provisional[change.Path] = offset;
     result.IsTreeChanged = true;
   }
-  remember(state, verdict);
+  recordVerdict(state, verdict);
   result.Verdict = verdict;
   return result;
 }
@@ -192,7 +192,7 @@
   }
   for (const std::string &id : peer.VerdictOrder)
     if (!state.Verdicts.contains(id))
-      remember(state, peer.Verdicts.at(id));
+      recordVerdict(state, peer.Verdicts.at(id));
   state.Next = std::max(state.Next, peer.Next);
   return isChanged;
 }
