--- a/src/libhickoryglade/settingstree.cpp
+++ b/src/libhickoryglade/settingstree.cpp
@@ -29,7 +29,7 @@
   return it == tree.Nodes.end() ? 0 : it->second.Revision;
 }
 
-std::vector<std::string> lineage(const std::string &path) {
+std::vector<std::string> pathWithAncestors(const std::string &path) {
   std::vector<std::string> all{"/"};
   std::string at;
   for (const std::string &name : splitSettingsPath(path)) {
@@ -42,7 +42,7 @@
 std::vector<EffectiveValue> effectiveValues(const SettingsTree &tree,
                                             const std::string &path) {
   std::map<std::string, EffectiveValue> byKey;
-  for (const std::string &at : lineage(path)) {
+  for (const std::string &at : pathWithAncestors(path)) {
     const SettingsNode *node = liveNode(tree, at);
     if (!node)
       continue;
@@ -58,7 +58,7 @@
 
 ServicePolicy policyAt(const SettingsTree &tree, const std::string &path) {
   ServicePolicy policy;
-  for (const std::string &at : lineage(path))
+  for (const std::string &at : pathWithAncestors(path))
     if (const SettingsNode *node = liveNode(tree, at))
       policy = applySettings(std::move(policy), node->Value);
   return policy;
--- a/src/libhickoryglade/settingstree.h
+++ b/src/libhickoryglade/settingstree.h
@@ -39,7 +39,7 @@
 std::int64_t revisionOf(const SettingsTree &tree, const std::string &path);
 
 /// The path itself and its ancestors, root first.
-std::vector<std::string> lineage(const std::string &path);
+std::vector<std::string> pathWithAncestors(const std::string &path);
 
 /// All keys in force at a path, with their origin.
 std::vector<EffectiveValue> effectiveValues(const SettingsTree &tree,
