--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -144,7 +144,7 @@
       service == gate.Services.end() ? defaults : service->second.Policy;
   bool isForgotten = endpoint.State == Standing::Trial &&
                      !hasStartedSinceChange(endpoint) &&
-                     now - endpoint.StateSince > policy.TrialPatience;
+                     now - endpoint.StateSince > policy.TrialIdleTimeout;
   if (isForgotten)
     setStanding(endpoint, Standing::Healthy, "no trial came", now, actions);
   if (endpoint.State != Standing::Suspect &&
--- a/src/libhickoryglade/servicepolicy.h
+++ b/src/libhickoryglade/servicepolicy.h
@@ -70,7 +70,7 @@
   Millis MostRest{64'000};
   /// An endpoint on trial to which no request comes for this long is taken for
   /// healthy.
-  Millis TrialPatience{86'400'000};
+  Millis TrialIdleTimeout{86'400'000};
   /// One suitable request in this many goes to an endpoint on trial.
   int TrialOdds = 8;
   /// Whether idempotent requests go to doubtful endpoints while no healthy one
--- a/src/libhickoryglade/settingsschema.cpp
+++ b/src/libhickoryglade/settingsschema.cpp
@@ -136,8 +136,9 @@
        IntegerRule{1, DayMs,
                    [](P &p, std::int64_t v) { p.MostRest = Millis(v); }}},
       {"trial_patience_ms", SettingsLevel::Fleet,
-       IntegerRule{1, DayMs,
-                   [](P &p, std::int64_t v) { p.TrialPatience = Millis(v); }}},
+       IntegerRule{
+           1, DayMs,
+           [](P &p, std::int64_t v) { p.TrialIdleTimeout = Millis(v); }}},
       {"trial_odds", SettingsLevel::Fleet,
        IntegerRule{1, 1'000,
                    [](P &p, std::int64_t v) { p.TrialOdds = int(v); }}},
--- a/tests/kernel/test_doubt.cpp
+++ b/tests/kernel/test_doubt.cpp
@@ -36,7 +36,7 @@
   gate.Services["w/s"].Policy.FailuresForDoubt = 1;
   gate.Services["w/s"].Policy.FirstRest = Millis(500);
   gate.Services["w/s"].Policy.MostRest = Millis(1'500);
-  gate.Services["w/s"].Policy.TrialPatience = Millis(3'000);
+  gate.Services["w/s"].Policy.TrialIdleTimeout = Millis(3'000);
   gate.Services["w/s"].Gates = 4;
   announce(gate, endpoint("e"), at(0));
   return gate;
--- a/tests/kernel/test_hang.cpp
+++ b/tests/kernel/test_hang.cpp
@@ -25,7 +25,7 @@
   service.Policy.FailuresForDoubt = 1;
   service.Policy.StallAfter = Millis(500);
   service.Policy.FirstRest = Millis(500);
-  service.Policy.TrialPatience = Millis(3'000);
+  service.Policy.TrialIdleTimeout = Millis(3'000);
   service.Gates = 4;
   gate.AnnouncementLimit = std::chrono::seconds(60);
   announce(gate, {"e", "w/s", "127.0.0.1:1", 7, "1", false, 0, 0}, at(0));
