--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -419,7 +419,7 @@
 
 HttpAnswer Entry::problem(const Error &error, const std::string &id,
                           Micros timeLeft) {
-  const ErrorAnswer &row = answerFor(error.Kind);
+  const ErrorInfo &row = answerFor(error.Kind);
   Counters.countError(std::string(row.Name));
   HttpAnswer answer;
   answer.Status = statusOf(error);
--- a/src/libhickoryglade/errorkind.cpp
+++ b/src/libhickoryglade/errorkind.cpp
@@ -10,7 +10,7 @@
 constexpr RunState NotRun = RunState::NotRun;
 constexpr RunState Unknown = RunState::Unknown;
 
-constexpr std::array<ErrorAnswer, 27> Answers{{
+constexpr std::array<ErrorInfo, 27> Answers{{
     {ErrorKind::BadRequest, "bad_request", 400, NotRun, false,
      "The request is malformed"},
     {ErrorKind::HeadersTooLarge, "headers_too_large", 431, NotRun, false,
@@ -69,7 +69,7 @@
 
 } // namespace
 
-const ErrorAnswer &answerFor(ErrorKind kind) {
+const ErrorInfo &answerFor(ErrorKind kind) {
   return Answers[static_cast<std::size_t>(kind)];
 }
 
--- a/src/libhickoryglade/errorkind.h
+++ b/src/libhickoryglade/errorkind.h
@@ -43,7 +43,7 @@
 };
 
 /// Row of the table from error kind to answer.
-struct ErrorAnswer {
+struct ErrorInfo {
   ErrorKind Kind;
   std::string_view Name;
   int Status;
@@ -62,7 +62,7 @@
   bool operator==(const Error &) const = default;
 };
 
-const ErrorAnswer &answerFor(ErrorKind kind);
+const ErrorInfo &answerFor(ErrorKind kind);
 
 /// Maps a number received from another node; unknown numbers are Internal.
 ErrorKind errorKindFromWire(int value);
