--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -240,7 +240,7 @@
     logEvent(LogLevel::Warn, "attempt_failed",
              {{"request", inquiry.Id},
               {"attempt", number},
-              {"kind", answerFor(error.Kind).Name},
+              {"kind", errorInfo(error.Kind).Name},
               {"run", toString(error.Run)},
               {"detail", error.Detail},
               {"retry", answer.Verdict == RetryVerdict::Retry},
@@ -419,7 +419,7 @@
 
 HttpAnswer Entry::problem(const Error &error, const std::string &id,
                           Micros timeLeft) {
-  const ErrorInfo &row = answerFor(error.Kind);
+  const ErrorInfo &row = errorInfo(error.Kind);
   Counters.countError(std::string(row.Name));
   HttpAnswer answer;
   answer.Status = statusOf(error);
--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -281,7 +281,7 @@
       LogLevel::Info, "gate_refused",
       {{"request", action.AttemptId.substr(0, action.AttemptId.rfind('/'))},
        {"attempt", action.AttemptId},
-       {"kind", answerFor(action.Reason.Kind).Name},
+       {"kind", errorInfo(action.Reason.Kind).Name},
        {"detail", action.Reason.Detail}});
   sendFailure(exchange->Origin, action.Reason, exchange->Request.Service,
               exchange->Endpoint);
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -37,7 +37,7 @@
                    : status == 413 ? ErrorKind::BodyTooLarge
                    : status == 408 ? ErrorKind::RequestTimeout
                                    : ErrorKind::BadRequest;
-  const ErrorInfo &row = answerFor(kind);
+  const ErrorInfo &row = errorInfo(kind);
   HttpAnswer answer;
   answer.Status = row.Status;
   answer.Headers.push_back({"Content-Type", "application/problem+json"});
--- a/src/libhickoryglade/errorkind.cpp
+++ b/src/libhickoryglade/errorkind.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-const ErrorInfo &answerFor(ErrorKind kind) {
+const ErrorInfo &errorInfo(ErrorKind kind) {
   return Answers[static_cast<std::size_t>(kind)];
 }
 
@@ -80,14 +80,14 @@
 }
 
 Error makeError(ErrorKind kind, std::string detail, Millis retryAfter) {
-  return {kind, answerFor(kind).DefaultRun, std::move(detail), retryAfter};
+  return {kind, errorInfo(kind).DefaultRun, std::move(detail), retryAfter};
 }
 
 int statusOf(const Error &error) {
   constexpr int badGateway = 502;
   constexpr int unavailable = 503;
   constexpr int gatewayTimeout = 504;
-  int status = answerFor(error.Kind).Status;
+  int status = errorInfo(error.Kind).Status;
   bool isPromise = status == unavailable || status == 408;
   bool isVague = status == badGateway || status == gatewayTimeout;
   if (error.Run == RunState::Unknown && isPromise)
--- a/src/libhickoryglade/errorkind.h
+++ b/src/libhickoryglade/errorkind.h
@@ -62,7 +62,7 @@
   bool operator==(const Error &) const = default;
 };
 
-const ErrorInfo &answerFor(ErrorKind kind);
+const ErrorInfo &errorInfo(ErrorKind kind);
 
 /// Maps a number received from another node; unknown numbers are Internal.
 ErrorKind errorKindFromWire(int value);
--- a/tests/kernel/test_decisions.cpp
+++ b/tests/kernel/test_decisions.cpp
@@ -42,8 +42,8 @@
 TEST_CASE("every error kind has its own row in the table") {
   for (int i = 0; i <= int(ErrorKind::SlotTaken); ++i) {
     auto kind = static_cast<ErrorKind>(i);
-    CHECK(answerFor(kind).Kind == kind);
-    CHECK(answerFor(kind).Status >= 400);
+    CHECK(errorInfo(kind).Kind == kind);
+    CHECK(errorInfo(kind).Status >= 400);
   }
   CHECK(errorKindFromWire(999) == ErrorKind::Internal);
   CHECK(errorKindFromWire(-1) == ErrorKind::Internal);
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -247,7 +247,7 @@
       served += call->Outcome == Told::Answered;
       if (call->Outcome != Told::Answered && std::getenv("SHOW_LOST"))
         world().note("lost " + call->Id + " " +
-                     std::string(answerFor(call->Kind).Name));
+                     std::string(errorInfo(call->Kind).Name));
     }
     expect(all > 0 && served * 100 >= all * std::size_t(percent),
            "served " + std::to_string(served) + " of " + std::to_string(all));
