--- a/src/libhickoryglade/costmodel.cpp
+++ b/src/libhickoryglade/costmodel.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-CostModel::CostModel(std::size_t mostClasses) : MostClasses(mostClasses) {}
+CostModel::CostModel(std::size_t maxClasses) : MaxClasses(maxClasses) {}
 
 CostEstimate CostModel::estimate(const CostClass &cls, Micros longAfter) const {
   auto it = Classes.find(keyOf(cls));
@@ -34,7 +34,7 @@
   std::string key = keyOf(cls);
   auto it = Classes.find(key);
   if (it == Classes.end()) {
-    if (Classes.size() >= MostClasses)
+    if (Classes.size() >= MaxClasses)
       evict();
     Classes[key] = {double(runTime.count()), ++Uses};
     return;
--- a/src/libhickoryglade/costmodel.h
+++ b/src/libhickoryglade/costmodel.h
@@ -28,7 +28,7 @@
 /// all gates. Bounded: the least recently used class goes first.
 class CostModel {
 public:
-  explicit CostModel(std::size_t mostClasses = 10'000);
+  explicit CostModel(std::size_t maxClasses = 10'000);
 
   CostEstimate estimate(const CostClass &cls, Micros longAfter) const;
   void observe(const CostClass &cls, Micros runTime);
@@ -44,7 +44,7 @@
   void evict();
 
   std::unordered_map<std::string, Average> Classes;
-  std::size_t MostClasses;
+  std::size_t MaxClasses;
   std::uint64_t Uses = 0;
 };
 
