--- a/src/libhickoryglade/splitter.cpp
+++ b/src/libhickoryglade/splitter.cpp
@@ -17,19 +17,20 @@
   if (shares.Split != route.Split) {
     shares = {route.Split, {}};
     for (std::size_t i = 0; i < route.Split.size(); ++i)
-      shares.Owed.push_back(std::int64_t(uniform(rng, std::uint64_t(sum) + 1)));
+      shares.CurrentWeights.push_back(
+          std::int64_t(uniform(rng, std::uint64_t(sum) + 1)));
   }
   for (std::size_t i = 0; i < route.Split.size(); ++i)
-    shares.Owed[i] += route.Split[i].Weight;
+    shares.CurrentWeights[i] += route.Split[i].Weight;
   // A part of no weight gets nothing, whatever place it started from.
   auto rank = [&](std::size_t i) {
-    return std::pair(route.Split[i].Weight > 0, shares.Owed[i]);
+    return std::pair(route.Split[i].Weight > 0, shares.CurrentWeights[i]);
   };
   std::size_t best = 0;
   for (std::size_t i = 1; i < route.Split.size(); ++i)
     if (rank(i) > rank(best))
       best = i;
-  shares.Owed[best] -= sum;
+  shares.CurrentWeights[best] -= sum;
   return route.Split[best].Service;
 }
 
--- a/src/libhickoryglade/splitter.h
+++ b/src/libhickoryglade/splitter.h
@@ -19,7 +19,7 @@
   struct Shares {
     std::vector<SplitPart> Split;
     /// What each part is owed, in units of the sum of all weights.
-    std::vector<std::int64_t> Owed;
+    std::vector<std::int64_t> CurrentWeights;
   };
 
   std::map<std::string, Shares> ByRoute;
