--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -227,7 +227,7 @@
   record.Departed = Departed;
   if (Facts.KeepsStandingsNear)
     for (EndpointRecord &it : record.Endpoints)
-      it.State = isPassing(it.State) ? Standing::Healthy : it.State;
+      it.State = isTransient(it.State) ? Standing::Healthy : it.State;
   // Documents would change the records of all members at once; their version
   // goes along with other messages.
   if (Directory)
@@ -251,7 +251,7 @@
 void Control::reportStandings() {
   std::map<std::string, Standing> states;
   for (const EndpointRecord &it : Endpoints)
-    if (isPassing(it.State))
+    if (isTransient(it.State))
       states[it.Name] = it.State;
   if (states == OwnStandings.States)
     return;
--- a/src/libhickoryglade/standingboard.cpp
+++ b/src/libhickoryglade/standingboard.cpp
@@ -4,7 +4,7 @@
 
 namespace hickoryglade {
 
-bool isPassing(Standing state) {
+bool isTransient(Standing state) {
   return state == Standing::Suspect || state == Standing::Trial;
 }
 
--- a/src/libhickoryglade/standingboard.h
+++ b/src/libhickoryglade/standingboard.h
@@ -40,7 +40,7 @@
 constexpr Micros StandingRepeat = std::chrono::seconds(2);
 
 /// True for a standing that is told in reports instead of members' records.
-bool isPassing(Standing state);
+bool isTransient(Standing state);
 
 /// Takes a report unless a later one of the node is known. Returns whether
 /// anything that it says is new.
