--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -334,7 +334,7 @@
     if (endpoint.State == Standing::Draining)
       continue;
     Standing standing =
-        passingStanding(Standings, record.Node, record.BootId, endpoint.Name)
+        transientStanding(Standings, record.Node, record.BootId, endpoint.Name)
             .value_or(endpoint.State);
     std::vector<GateView> &gates = view.Services[endpoint.Service].Gates;
     auto gate = std::ranges::find(gates, record.Node, &GateView::Node);
--- a/src/libhickoryglade/standingboard.cpp
+++ b/src/libhickoryglade/standingboard.cpp
@@ -35,10 +35,10 @@
   return hasNamed;
 }
 
-std::optional<Standing> passingStanding(const StandingBoard &board,
-                                        const std::string &node,
-                                        std::int64_t bootId,
-                                        const std::string &endpoint) {
+std::optional<Standing> transientStanding(const StandingBoard &board,
+                                          const std::string &node,
+                                          std::int64_t bootId,
+                                          const std::string &endpoint) {
   auto entry = board.Entries.find(node);
   if (entry == board.Entries.end() || entry->second.Report.BootId != bootId)
     return std::nullopt;
--- a/src/libhickoryglade/standingboard.h
+++ b/src/libhickoryglade/standingboard.h
@@ -51,9 +51,9 @@
 bool expireReports(StandingBoard &board, Instant now);
 
 /// The standing of an endpoint of a given process, if it is a passing one.
-std::optional<Standing> passingStanding(const StandingBoard &board,
-                                        const std::string &node,
-                                        std::int64_t bootId,
-                                        const std::string &endpoint);
+std::optional<Standing> transientStanding(const StandingBoard &board,
+                                          const std::string &node,
+                                          std::int64_t bootId,
+                                          const std::string &endpoint);
 
 } // namespace hickoryglade
