--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -61,7 +61,7 @@
                [this] { followPeers(); },
                [this](const StandingReport &report) {
                  bool wasEmpty = Standings.Entries.empty();
-                 if (takeReport(Standings, report, now()))
+                 if (applyReport(Standings, report, now()))
                    scheduleRebuild();
                  if (wasEmpty)
                    repeatStandings();
@@ -257,7 +257,7 @@
     return;
   OwnStandings.States = std::move(states);
   ++OwnStandings.Sequence;
-  takeReport(Standings, OwnStandings, now());
+  applyReport(Standings, OwnStandings, now());
   Members.spreadStandings(OwnStandings);
   repeatStandings();
 }
@@ -271,7 +271,7 @@
       return;
     if (!OwnStandings.States.empty()) {
       ++OwnStandings.Sequence;
-      takeReport(Standings, OwnStandings, now());
+      applyReport(Standings, OwnStandings, now());
       Members.spreadStandings(OwnStandings);
     }
     if (expireReports(Standings, now()))
--- a/src/libhickoryglade/standingboard.cpp
+++ b/src/libhickoryglade/standingboard.cpp
@@ -8,8 +8,8 @@
   return state == Standing::Suspect || state == Standing::Trial;
 }
 
-bool takeReport(StandingBoard &board, const StandingReport &report,
-                Instant now) {
+bool applyReport(StandingBoard &board, const StandingReport &report,
+                 Instant now) {
   auto [it, isNew] = board.Entries.try_emplace(report.Node);
   StandingBoard::Entry &entry = it->second;
   bool isOld =
--- a/src/libhickoryglade/standingboard.h
+++ b/src/libhickoryglade/standingboard.h
@@ -44,8 +44,8 @@
 
 /// Takes a report unless a later one of the node is known. Returns whether
 /// anything that it says is new.
-bool takeReport(StandingBoard &board, const StandingReport &report,
-                Instant now);
+bool applyReport(StandingBoard &board, const StandingReport &report,
+                 Instant now);
 
 /// Drops lapsed reports; returns whether there were any that named endpoints.
 bool expireReports(StandingBoard &board, Instant now);
--- a/tests/kernel/test_nearest.cpp
+++ b/tests/kernel/test_nearest.cpp
@@ -142,17 +142,17 @@
   StandingBoard board;
   Instant start(milliseconds(0));
   StandingReport first{"n", 7, 1, {{"e", Standing::Suspect}}};
-  CHECK(takeReport(board, first, start));
+  CHECK(applyReport(board, first, start));
   CHECK(transientStanding(board, "n", 7, "e") == Standing::Suspect);
   CHECK_FALSE(transientStanding(board, "n", 8, "e"));
   CHECK_FALSE(transientStanding(board, "n", 7, "other"));
   StandingReport recovered{"n", 7, 2, {}};
-  CHECK(takeReport(board, recovered, start));
+  CHECK(applyReport(board, recovered, start));
   // A late copy of the first.
-  CHECK_FALSE(takeReport(board, first, start));
+  CHECK_FALSE(applyReport(board, first, start));
   CHECK_FALSE(transientStanding(board, "n", 7, "e"));
   StandingReport third{"n", 7, 3, {{"e", Standing::Trial}}};
-  CHECK(takeReport(board, third, start));
+  CHECK(applyReport(board, third, start));
   CHECK_FALSE(expireReports(board, start + StandingTerm));
   CHECK(expireReports(board, start + StandingTerm + milliseconds(1)));
   CHECK_FALSE(transientStanding(board, "n", 7, "e"));
