--- a/src/libhickoryglade/standingboard.h
+++ b/src/libhickoryglade/standingboard.h
@@ -27,7 +27,7 @@
 struct StandingBoard {
   struct Entry {
     StandingReport Report;
-    Instant HeardAt;
+    Instant ReceivedAt;
   };
   std::map<std::string, Entry> Entries;
 };
