--- a/src/libhickoryglade/standingboard.cpp
+++ b/src/libhickoryglade/standingboard.cpp
@@ -28,7 +28,7 @@
 bool expireReports(StandingBoard &board, Instant now) {
   bool hasNamed = false;
   std::erase_if(board.Entries, [&](const auto &it) {
-    bool isLapsed = now - it.second.ReceivedAt > StandingTerm;
+    bool isLapsed = now - it.second.ReceivedAt > StandingLifetime;
     hasNamed = hasNamed || (isLapsed && !it.second.Report.States.empty());
     return isLapsed;
   });
--- a/src/libhickoryglade/standingboard.h
+++ b/src/libhickoryglade/standingboard.h
@@ -34,7 +34,7 @@
 
 /// A report that is not repeated lapses after this time: the news of a recovery
 /// may have been lost. One repeat may be lost before.
-constexpr Micros StandingTerm = std::chrono::seconds(5);
+constexpr Micros StandingLifetime = std::chrono::seconds(5);
 
 /// Between repeats of a report that names an endpoint.
 constexpr Micros StandingRepeat = std::chrono::seconds(2);
--- a/tests/kernel/test_nearest.cpp
+++ b/tests/kernel/test_nearest.cpp
@@ -153,8 +153,8 @@
   CHECK_FALSE(transientStanding(board, "n", 7, "e"));
   StandingReport third{"n", 7, 3, {{"e", Standing::Trial}}};
   CHECK(applyReport(board, third, start));
-  CHECK_FALSE(expireReports(board, start + StandingTerm));
-  CHECK(expireReports(board, start + StandingTerm + milliseconds(1)));
+  CHECK_FALSE(expireReports(board, start + StandingLifetime));
+  CHECK(expireReports(board, start + StandingLifetime + milliseconds(1)));
   CHECK_FALSE(transientStanding(board, "n", 7, "e"));
 }
 
