--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -265,7 +265,7 @@
 /// Goes on while an endpoint's standing is a passing one, or another node's
 /// report may lapse.
 void Control::repeatStandings() {
-  StandingTimer.expires_after(StandingRepeat);
+  StandingTimer.expires_after(StandingRepeatPeriod);
   StandingTimer.async_wait([this](const error_code &ec) {
     if (ec)
       return;
--- a/src/libhickoryglade/standingboard.h
+++ b/src/libhickoryglade/standingboard.h
@@ -37,7 +37,7 @@
 constexpr Micros StandingLifetime = std::chrono::seconds(5);
 
 /// Between repeats of a report that names an endpoint.
-constexpr Micros StandingRepeat = std::chrono::seconds(2);
+constexpr Micros StandingRepeatPeriod = std::chrono::seconds(2);
 
 /// True for a standing that is told in reports instead of members' records.
 bool isTransient(Standing state);
