--- a/src/libhickoryglade/retry.cpp
+++ b/src/libhickoryglade/retry.cpp
@@ -8,7 +8,7 @@
 
 constexpr double Percent = 100;
 
-/// Failures that another gate would repeat.
+/// True for failures that any other gate would return too.
 bool isFinal(ErrorKind kind) {
   switch (kind) {
   case ErrorKind::DeadlineExceeded:
@@ -34,8 +34,8 @@
 
 RetryBudget makeErrorBudget() {
   constexpr double reserve = 1;
-  constexpr double most = 2;
-  return {reserve, most};
+  constexpr double maxTokens = 2;
+  return {reserve, maxTokens};
 }
 
 bool RetryBudget::tryTake() {
@@ -56,33 +56,34 @@
          kind == ErrorKind::ContentSuspect;
 }
 
-Millis suggestRetryAfter(Millis named, Millis timeLeft, Random &rng) {
-  // As long as the usual wait, so that callers do not come back together.
-  constexpr std::uint64_t spreadMs = 1'000;
-  // Leaves three quarters of the caller's time for the work.
-  constexpr int part = 4;
+Millis suggestRetryAfter(Millis requested, Millis timeLeft, Random &rng) {
+  // The jitter is as long as the default wait, so that rejected callers do not
+  // retry at the same time.
+  constexpr std::uint64_t jitterMs = 1'000;
+  // Leaves three quarters of the caller's time for the request itself.
+  constexpr int timeDivisor = 4;
   // Some round trips between a caller and the fleet (8 ms one way).
-  constexpr Millis least{20};
-  Millis wait = named.count() > 0
-                    ? named
-                    : DefaultRetryAfter + Millis(uniform(rng, spreadMs));
-  if (timeLeft <= least * part)
+  constexpr Millis minWait{20};
+  Millis wait = requested.count() > 0
+                    ? requested
+                    : DefaultRetryAfter + Millis(uniform(rng, jitterMs));
+  if (timeLeft <= minWait * timeDivisor)
     return wait;
-  return std::clamp(wait, least, timeLeft / part);
+  return std::clamp(wait, minWait, timeLeft / timeDivisor);
 }
 
-RetryDecision decideRetry(const RetryContext &question, RetryBudget &budget) {
-  if (isFinal(question.Failure.Kind))
+RetryDecision decideRetry(const RetryContext &context, RetryBudget &budget) {
+  if (isFinal(context.Failure.Kind))
     return {RetryVerdict::GiveUp, "another attempt would fail alike"};
-  if (question.Failure.Run == RunState::Unknown && !question.IsIdempotent)
+  if (context.Failure.Run == RunState::Unknown && !context.IsIdempotent)
     return {RetryVerdict::GiveUp, "may have run and is not idempotent"};
-  if (question.Runs >= question.MaxRuns)
+  if (context.Runs >= context.MaxRuns)
     return {RetryVerdict::GiveUp, "endpoints exhausted"};
-  if (question.Attempts >= AttemptLimit)
+  if (context.Attempts >= AttemptLimit)
     return {RetryVerdict::GiveUp, "attempts exhausted"};
-  if (question.TimeLeft <= question.ExpectedCost)
+  if (context.TimeLeft <= context.ExpectedCost)
     return {RetryVerdict::GiveUp, "no time left"};
-  if (!isFreeRetry(question.Failure.Kind) && !budget.tryTake())
+  if (!isFreeRetry(context.Failure.Kind) && !budget.tryTake())
     return {RetryVerdict::GiveUp, "retry budget exhausted"};
   return {RetryVerdict::Retry, "another attempt may succeed"};
 }
--- a/src/libhickoryglade/retry.h
+++ b/src/libhickoryglade/retry.h
@@ -8,12 +8,12 @@
 
 namespace hickoryglade {
 
-/// Allows retries as a share of fresh requests, with a small reserve for
-/// quiet times.
+/// Token bucket that allows retries as a share of fresh requests, with a small
+/// reserve for times with few requests.
 class RetryBudget {
 public:
   RetryBudget() = default;
-  /// Starts with a reserve of retries and never holds more than a number.
+  /// Starts with a number of tokens and never holds more than maxTokens.
   RetryBudget(double reserve, double maxTokens)
       : MaxTokens(maxTokens), Tokens(reserve) {}
 
@@ -27,24 +27,24 @@
   double Tokens = DefaultReserve;
 };
 
-/// Share of fresh requests whose answer may be an endpoint's report of an error
-/// and is tried again. Where an endpoint fails because a service that it calls
-/// fails, another try makes all its calls again.
+/// Share of fresh requests that are retried after the endpoint itself has
+/// answered with an error. The share is small because an endpoint that fails
+/// with a service it calls repeats all its calls on each retry.
 constexpr int ErrorRetryPercent = 3;
 
-/// Budget for such retries at one entry and service.
+/// Budget for retries of such answers at one entry and service.
 RetryBudget makeErrorBudget();
 
 enum class RetryVerdict { Retry, GiveUp };
 
-/// What an entry knows when an attempt has failed.
+/// State of a request when an attempt has failed, as its entry knows it.
 struct RetryContext {
   Error Failure;
   bool IsIdempotent = false;
   int Attempts = 1;
   Micros TimeLeft{0};
   Micros ExpectedCost{0};
-  /// Attempts that an endpoint may have run, and how many may.
+  /// Attempts that an endpoint may have run, and their limit.
   int Runs = 0;
   int MaxRuns = 4;
 };
@@ -56,28 +56,31 @@
   bool operator==(const RetryDecision &) const = default;
 };
 
-/// What a caller is told after its last attempt: an earlier one that may have
-/// run counts too.
+/// Error that the caller receives after the last attempt. If any attempt may
+/// have run, the error says so.
 Error finalError(Error last, bool mayHaveRun);
 
-/// Wait that a refused caller is told where nothing better is known.
+/// Retry-After of a refusal for which no better value is known.
 constexpr Millis DefaultRetryAfter = std::chrono::seconds(1);
 
-/// When a refused caller is to come back: as the refusal says, spread where it
-/// says nothing, and early enough to leave time for the work itself.
-Millis suggestRetryAfter(Millis named, Millis timeLeft, Random &rng);
+/// Retry-After for a rejected caller: the refusal's own value if it has one,
+/// otherwise the default with jitter. It is short enough to leave time for the
+/// request itself.
+Millis suggestRetryAfter(Millis requested, Millis timeLeft, Random &rng);
 
-/// Attempts after which a request is given up.
+/// Attempts after which a request fails.
 constexpr int AttemptLimit = 4;
 
-/// Refusals that cost one message each, after which a request is given up.
+/// Retries outside the budget after which a request fails.
 constexpr int FreeRetryLimit = 12;
 
-/// True for a refusal that costs one message and draws on no budget.
+/// True for a refusal that costs a single message, so that its retry takes no
+/// token from the budget.
 bool isFreeRetry(ErrorKind kind);
 
-/// Work that may have run moves to another endpoint only if it is
-/// idempotent; the budget holds over the whole path since only entries retry.
-RetryDecision decideRetry(const RetryContext &question, RetryBudget &budget);
+/// Decides whether to try another endpoint. A request that may have run is
+/// retried only if it is idempotent. The budget bounds the retries of the
+/// whole path, since only entries retry.
+RetryDecision decideRetry(const RetryContext &context, RetryBudget &budget);
 
 } // namespace hickoryglade
