--- a/src/libhickoryglade/routerpolicy.cpp
+++ b/src/libhickoryglade/routerpolicy.cpp
@@ -19,7 +19,7 @@
   return all;
 }
 
-/// Doubtful endpoints with free slots, if no healthy one has any.
+/// Gates of doubtful endpoints with free slots, if no healthy one has any.
 std::vector<std::size_t>
 doubtfulWithFreeSlots(std::span<const Candidate> candidates) {
   std::vector<std::size_t> all;
@@ -35,35 +35,35 @@
   return all;
 }
 
-bool suitsTrial(const RouteRequest &question) {
-  return question.IsIdempotent && !question.IsLong && !question.IsSerialized;
+bool suitsTrial(const RouteRequest &request) {
+  return request.IsIdempotent && !request.IsLong && !request.IsSerialized;
 }
 
 } // namespace
 
 std::vector<std::size_t>
 eligibleCandidates(std::span<const Candidate> candidates,
-                   const RouteRequest &question, Random &rng) {
-  if (suitsTrial(question)) {
+                   const RouteRequest &request, Random &rng) {
+  if (suitsTrial(request)) {
     auto trials = withStanding(candidates, Standing::Trial, false);
-    if (!trials.empty() && uniform(rng, std::uint64_t(question.TrialOdds)) == 0)
+    if (!trials.empty() && uniform(rng, std::uint64_t(request.TrialOdds)) == 0)
       return {trials[uniform(rng, trials.size())]};
   }
-  if (question.MaySpill && question.IsIdempotent && !question.IsSerialized)
+  if (request.MaySpill && request.IsIdempotent && !request.IsSerialized)
     if (auto all = doubtfulWithFreeSlots(candidates); !all.empty())
       return all;
   constexpr std::array<Standing, 3> order = {
       Standing::Healthy, Standing::Suspect, Standing::Trial};
-  // A gate that turned a request away has not run it: what may run only once is
-  // better off there than at a doubtful endpoint.
-  std::vector<std::pair<Standing, bool>> places;
+  // A gate that refused a request has not run it, so a request that may run
+  // only once is safer there than at a doubtful endpoint.
+  std::vector<std::pair<Standing, bool>> preferences;
   for (bool wasTried : {false, true})
     for (Standing state : order)
-      places.emplace_back(state, wasTried);
-  if (!question.IsIdempotent)
-    std::ranges::stable_sort(places, {},
+      preferences.emplace_back(state, wasTried);
+  if (!request.IsIdempotent)
+    std::ranges::stable_sort(preferences, {},
                              [](const auto &it) { return rankOf(it.first); });
-  for (const auto &[state, wasTried] : places)
+  for (const auto &[state, wasTried] : preferences)
     if (auto all = withStanding(candidates, state, wasTried); !all.empty())
       return all;
   return {};
--- a/src/libhickoryglade/routerpolicy.h
+++ b/src/libhickoryglade/routerpolicy.h
@@ -10,12 +10,12 @@
 
 namespace hickoryglade {
 
-/// One gate of a service as an entry sees it.
+/// A gate of a service and its load, as known to an entry.
 struct Candidate {
   std::string Node;
   std::string DataCentre;
   int Slots = 0;
-  /// As of the gate's latest reply; may be stale.
+  /// Free slots as of the gate's latest reply; may be stale.
   int FreeSlots = 0;
   int Queued = 0;
   /// Requests of this entry that the gate has not answered yet.
@@ -24,76 +24,81 @@
   bool IsLocal = false;
   /// True for a gate in the entry's own data centre.
   bool IsNear = false;
-  /// False while the link to the gate is silent in either direction.
+  /// False while no traffic arrives over the link in one of its directions.
   bool IsPathUp = true;
-  /// True if it has refused or failed this very request before.
+  /// True if an earlier attempt of this request was refused or failed there.
   bool WasTried = false;
 
   bool operator==(const Candidate &) const = default;
 };
 
-/// What a router needs to know of the request.
+/// Properties of a request that a router takes into account.
 struct RouteRequest {
   bool IsLong = false;
   bool IsIdempotent = true;
-  /// True once a slot that was thought free turned out to be taken.
+  /// True once a gate has refused the request because its free slot was taken.
   bool WasSlotTaken = false;
-  /// True for a request that may have crashed an endpoint: all its copies
-  /// must meet at one gate.
+  /// True for a request that may have crashed an endpoint: all requests with
+  /// this content go to one gate.
   bool IsSerialized = false;
   std::uint64_t Fingerprint = 0;
-  /// One suitable request in this many goes to an endpoint on trial.
+  /// One in this many suitable requests goes to an endpoint on trial.
   int TrialOdds = 8;
-  /// Whether it may go to doubtful endpoints while no healthy one is free.
+  /// True if the request may go to doubtful endpoints while no healthy one has
+  /// a free slot.
   bool MaySpill = false;
-  /// Times that gates have refused it for want of room.
+  /// Refusals by gates that had no free slot.
   int CapacityRefusals = 0;
 };
 
-/// Where to send a request.
+/// Gates to which a request is sent, and how.
 struct RoutePlan {
-  /// Indexes into the candidates, best first; empty if none can serve.
+  /// Indexes into the candidates, best first; empty if none is suitable.
   std::vector<std::size_t> Targets;
-  /// True to leave tickets and send the body to the first gate that grants
-  /// a slot; false to send the request itself to the first target.
+  /// True to queue tickets at all targets and send the body to the first gate
+  /// that grants a slot; false to send the request itself to the first target.
   bool AwaitsGrant = false;
-  /// True to have the request refused instead of queued if the gate has no
-  /// free slot after all.
+  /// True if the gate is to refuse the request instead of queueing it when it
+  /// has no free slot.
   bool OnlyIfFree = false;
   std::string Reason;
-  /// True to have it refused instead of queued if it would wait for longer than
-  /// settings allow near its entry, as there are gates elsewhere.
+  /// True if the gate is to refuse the request when the expected wait exceeds
+  /// the limit for the entry's own data centre, so that the entry can try gates
+  /// in other data centres.
   bool IsWaitBounded = false;
 
   bool operator==(const RoutePlan &) const = default;
 };
 
-/// True if a plan goes to doubtful endpoints though some in good standing have
-/// not been tried.
+/// True if the plan goes to doubtful endpoints although untried healthy ones
+/// exist.
 bool isSpill(std::span<const Candidate> candidates, const RoutePlan &plan);
 
-/// Chooses gates. Registered under the names that settings use.
+/// Load balancing policy, registered under the name that settings use.
 struct RouterPolicy {
   RoutePlan (*Plan)(std::span<const Candidate> candidates,
-                    const RouteRequest &question, Random &rng);
+                    const RouteRequest &request, Random &rng);
 };
 
-/// Indexes of the candidates to choose from: healthy ones on working paths
-/// and now and then one on trial, else suspects, else nothing. Those that have
-/// been tried come last.
+/// Indexes of the candidates that a router chooses from, all on working links:
+/// occasionally one on trial, otherwise the untried healthy ones, then
+/// suspects, then those on trial. Candidates that have been tried come last.
 std::vector<std::size_t>
 eligibleCandidates(std::span<const Candidate> candidates,
-                   const RouteRequest &question, Random &rng);
+                   const RouteRequest &request, Random &rng);
 
-/// The plan for a request whose copies must all meet at one gate: whatever
-/// each entry thinks of paths and health, it must choose alike.
+/// Plan for a request that all entries must send to the same gate. The choice
+/// depends on names only, since entries differ in what they know of links and
+/// health.
 RoutePlan planSerialized(std::span<const Candidate> candidates,
                          std::uint64_t fingerprint);
 
-/// Estimated work in front of a new request, per slot.
+/// Load of a gate per slot: its running and queued requests, or this entry's
+/// outstanding ones if they are more.
 double loadPerSlot(const Candidate &it);
 
-/// Certainly free slots as far as this entry knows.
+/// Slots that are free even if all outstanding requests of this entry take
+/// one; 0 if the gate has a queue.
 int knownFreeSlots(const Candidate &it);
 
 } // namespace hickoryglade
