--- a/src/libhickoryglade/memberrecord.h
+++ b/src/libhickoryglade/memberrecord.h
@@ -8,7 +8,7 @@
 
 namespace hickoryglade {
 
-/// An endpoint as its gate's node describes it to the fleet.
+/// An endpoint as the node of its gate publishes it to the fleet.
 struct EndpointRecord {
   std::string Name;
   /// Qualified service name.
@@ -20,9 +20,9 @@
   bool operator==(const EndpointRecord &) const = default;
 };
 
-/// A start of an endpoint that has left or is leaving. A node that starts again
-/// is told its own by others, so that a late announcement misleads it no more
-/// than it would have before.
+/// One process of an endpoint that has left or is leaving. Other members send a
+/// restarted node the records of its earlier process, so that it still ignores
+/// late announcements of these endpoints.
 struct DepartedRecord {
   std::string Name;
   std::int64_t StartedAtMs = 0;
@@ -30,8 +30,8 @@
   bool operator==(const DepartedRecord &) const = default;
 };
 
-/// A node as it describes itself. Only the node writes it: of two records,
-/// the higher (BootId, Version) is the newer.
+/// A node's description of itself. Only the node writes it; of two records, the
+/// one with the higher (BootId, Version) is newer.
 struct MemberRecord {
   std::string Node;
   /// Start time of the process in microseconds since the Unix epoch.
@@ -40,7 +40,7 @@
   std::string FleetAddress;
   std::string AdminAddress;
   std::string DataCentre;
-  /// True once the node has said that it is leaving.
+  /// True once the node has announced that it is leaving.
   bool IsLeaving = false;
   std::vector<EndpointRecord> Endpoints;
   std::vector<DepartedRecord> Departed;
--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -10,43 +10,44 @@
 
 namespace {
 
-/// The usual period of SWIM; links in use notice losses sooner by themselves.
+/// The customary period of SWIM. Links in use detect failures sooner by
+/// themselves.
 constexpr Micros ProbePeriod = std::chrono::seconds(1);
 constexpr Micros DirectTimeout = std::chrono::milliseconds(200);
 constexpr Micros ProbeTimeout = std::chrono::milliseconds(450);
 constexpr Micros SuspicionTimeout = std::chrono::seconds(3);
 constexpr Micros SyncPeriod = std::chrono::seconds(5);
 
-/// A node that has just started compares with several others, and often.
+/// A node that has just started synchronises more often, and with several
+/// members at a time.
 constexpr Micros JoinPeriod = std::chrono::seconds(2);
 constexpr Micros JoinSyncPeriod = std::chrono::milliseconds(300);
 constexpr std::size_t JoinSyncs = 2;
 
-/// One comparison in this many may be with another data centre.
+/// One synchronisation in this many may be with another data centre.
 constexpr std::uint64_t FarSyncOdds = 4;
 
-/// Dead members are remembered this long, so that old news of them does not
-/// bring them back.
+/// Dead members are kept for this long, so that outdated updates do not
+/// resurrect them.
 constexpr Micros DeadRetention = std::chrono::hours(1);
 
 constexpr std::size_t IndirectProbes = 3;
 
-/// Each belief is passed on this many times the logarithm of the members;
-/// anti-entropy finds what that misses.
+/// Each update is piggybacked this many times the logarithm of the number of
+/// members. Anti-entropy repairs what that misses.
 constexpr int TransmissionFactor = 1;
 
-/// Times that news is passed on to members of other data centres, where those
-/// who hear of it pass it on among themselves.
+/// Limit of transmissions for messages to other data centres, where the
+/// receivers spread an update among themselves.
 constexpr int FarTransmissions = 2;
 
-/// News that its subject has told many members itself is passed on only this
-/// often by each.
+/// Limit of transmissions for an update that its subject has already broadcast.
 constexpr int BroadcastTransmissions = 1;
 
-/// More than any news is passed on.
+/// A transmission count above any limit.
 constexpr int FullyTransmitted = 1'000;
 
-/// Bounds a datagram; a record weighs its endpoints and itself.
+/// Bounds the size of a datagram, in units of weightOf().
 constexpr std::size_t MaxWeight = 40;
 
 std::size_t weightOf(const MemberUpdate &update) {
@@ -73,7 +74,7 @@
          it->second.Record.DataCentre == self(state).DataCentre;
 }
 
-/// The beliefs that have been passed on least, within a datagram's bounds.
+/// The updates with the fewest transmissions that fit into one datagram.
 std::vector<MemberUpdate> freshUpdates(Membership &state,
                                        const std::string &address) {
   int most = maxTransmissions(state);
@@ -112,7 +113,7 @@
            state.SettingsNext}};
 }
 
-/// Splits beliefs over as many datagrams as they need.
+/// Splits updates over as many datagrams as necessary.
 void sendAll(const Membership &state, const std::string &address,
              const std::vector<MemberUpdate> &updates,
              std::vector<OutgoingGossip> &out) {
@@ -142,7 +143,8 @@
   ++state.Revision;
 }
 
-/// News that this node is suspect or dead is refuted by a newer version.
+/// Refutes an update that reports this node as suspect or dead, by raising the
+/// version of the own record.
 void refute(Membership &state, const MemberUpdate &update) {
   Member &own = state.Members.at(state.Self);
   if (update.Record.BootId < own.Record.BootId)
@@ -158,8 +160,8 @@
   own.Transmissions = 0;
 }
 
-/// Takes over a belief. What comes in bulk has been told to others before and
-/// need not be passed on.
+/// Applies an update if it is newer. Updates that arrive in bulk have been sent
+/// to other members before and are not piggybacked again.
 void merge(Membership &state, const MemberUpdate &update, bool isBulk,
            Instant now) {
   const std::string &node = update.Record.Node;
@@ -174,7 +176,7 @@
   bool isLater = isNew || isNewer(update.Record, member.Record);
   bool isSame = !isLater && !isNewer(member.Record, update.Record);
   if (!isLater && !(isSame && update.State > member.State)) {
-    // Whoever hears what it knows need not tell it to as many.
+    // A known update has already spread, so it needs fewer transmissions.
     if (isSame && update.State == member.State)
       ++member.Transmissions;
     return;
@@ -186,7 +188,8 @@
     member.Transmissions = FullyTransmitted;
 }
 
-/// A node that has started again is told which endpoints it knew to have left.
+/// Sends a restarted node the record of its earlier process, which lists the
+/// endpoints that had left.
 void sendDeparted(const Membership &state, const GossipMessage &message,
                   std::vector<OutgoingGossip> &out) {
   auto member = state.Members.find(message.Sender);
@@ -202,7 +205,8 @@
     sendAll(state, message.SenderAddress, {{known, MemberState::Alive}}, out);
 }
 
-/// A node tells all members of its own changes at once.
+/// A node sends changes of its own record to many members at once, as the only
+/// update of a message.
 void noteBroadcast(Membership &state, const GossipMessage &message) {
   auto member = state.Members.find(message.Sender);
   bool isDirect = message.Kind == GossipKind::Updates &&
@@ -253,13 +257,13 @@
 
 void probeIndirectly(Membership &state, std::vector<OutgoingGossip> &out) {
   state.Pending->IsIndirect = true;
-  std::vector<std::string> helpers = probeTargets(state);
-  std::erase(helpers, state.Pending->Target);
-  std::ranges::shuffle(helpers, state.Rng);
-  helpers.resize(std::min(helpers.size(), IndirectProbes));
-  for (const std::string &helper : helpers)
+  std::vector<std::string> relays = probeTargets(state);
+  std::erase(relays, state.Pending->Target);
+  std::ranges::shuffle(relays, state.Rng);
+  relays.resize(std::min(relays.size(), IndirectProbes));
+  for (const std::string &relay : relays)
     out.push_back(compose(state, GossipKind::PingRequest,
-                          state.Members.at(helper).Record.FleetAddress,
+                          state.Members.at(relay).Record.FleetAddress,
                           state.Pending->Sequence, state.Pending->Target));
 }
 
@@ -297,8 +301,9 @@
   return all;
 }
 
-/// Seeds and members that seem dead are asked too, so that parts of a fleet
-/// that were cut off or started apart find each other.
+/// Addresses of dead members and of seeds that are no known members. Contacting
+/// them lets parts of a fleet find each other after a network partition or a
+/// separate start.
 std::vector<std::string> rejoinAddresses(const Membership &state) {
   std::vector<std::string> all;
   for (const auto &[node, member] : state.Members)
@@ -317,7 +322,7 @@
   std::ranges::shuffle(addresses, state.Rng);
   addresses.resize(std::min(addresses.size(), most));
   for (const std::string &address : addresses) {
-    // No news besides: it would count as passed on.
+    // The message piggybacks no updates, as they would count as transmitted.
     out.push_back({address,
                    {GossipKind::Sync,
                     state.Self,
@@ -330,8 +335,8 @@
   }
 }
 
-/// Members near by mostly, as differences between data centres are few and
-/// found by any pair of their members.
+/// Mostly addresses in the own data centre: differences between data centres
+/// are few, and any pair of their members finds them.
 std::vector<std::string> syncAddresses(Membership &state, bool isJoining) {
   std::vector<std::string> near;
   for (const Member *peer : nearPeers(state))
@@ -363,8 +368,8 @@
   sendAll(state, message.SenderAddress, updates, out);
 }
 
-/// Holders that are remembered of the latest settings: enough to share out
-/// those who ask.
+/// Number of addresses kept of nodes with the latest settings, enough to
+/// distribute the load of fetching them.
 constexpr std::size_t MaxHolders = 8;
 
 void noteHolder(Membership &state, const GossipMessage &message) {
@@ -390,8 +395,8 @@
   state.Relays.erase(it);
 }
 
-/// A suspicion ends only by the suspect's own newer version, which the probe
-/// has asked it for.
+/// Ends the pending probe only. A suspicion ends when the suspect sends a newer
+/// version of its record, which the probe has caused it to do.
 void handleAck(Membership &state, const GossipMessage &message) {
   if (state.Pending && state.Pending->Sequence == message.Sequence)
     state.Pending.reset();
--- a/src/libhickoryglade/membership.h
+++ b/src/libhickoryglade/membership.h
@@ -14,8 +14,8 @@
 
 namespace hickoryglade {
 
-/// Values are part of the protocol; of two beliefs about one version of a
-/// record, the higher state wins.
+/// Values are part of the protocol. Of two updates with the same version of a
+/// record, the one with the higher state wins.
 enum class MemberState { Alive, Suspect, Dead };
 
 struct MemberUpdate {
@@ -27,7 +27,8 @@
 
 enum class GossipKind { Ping, Ack, PingRequest, Sync, Updates };
 
-/// Hashes of a node's records by bucket, to find differences cheaply.
+/// Hashes of the member records by bucket; two nodes compare them to find
+/// differences cheaply.
 constexpr std::size_t SyncBuckets = 64;
 using BucketHashes = std::array<std::uint64_t, SyncBuckets>;
 
@@ -38,11 +39,11 @@
   std::string Sender;
   std::string SenderAddress;
   std::int64_t Sequence = 0;
-  /// Member to probe, or that has answered a probe.
+  /// Member to probe, or member that has answered a probe.
   std::string Target;
   std::vector<MemberUpdate> Updates;
   BucketHashes Buckets{};
-  /// Version up to which the sender has the settings; 0 if it does not say.
+  /// Version up to which the sender has the settings; 0 if not given.
   std::int64_t SettingsNext = 0;
 
   bool operator==(const GossipMessage &) const = default;
@@ -59,13 +60,13 @@
   MemberRecord Record;
   MemberState State = MemberState::Alive;
   Instant StateSince;
-  /// Times that the latest belief has been passed on.
+  /// Number of times that the latest update has been piggybacked.
   int Transmissions = 0;
-  /// True if its subject has told many members of it itself.
+  /// True if the member has sent the latest update to many members itself.
   bool IsBroadcast = false;
 };
 
-/// Membership as one node sees it, its own record included.
+/// One node's view of the membership, its own record included.
 struct Membership {
   std::string Self;
   std::map<std::string, Member> Members;
@@ -80,7 +81,7 @@
   };
   std::optional<Probe> Pending;
 
-  /// A probe made for another member that could not reach the target.
+  /// A probe on behalf of another member that could not reach the target.
   struct Relay {
     std::int64_t OwnSequence = 0;
     std::int64_t TheirSequence = 0;
@@ -89,18 +90,18 @@
   };
   std::vector<Relay> Relays;
 
-  /// What this node says of its settings in each message.
+  /// Version of this node's settings, sent in each message.
   std::int64_t SettingsNext = 0;
 
-  /// The latest settings that other nodes have said to have, and some of those
-  /// nodes' addresses.
+  /// The latest settings version among other nodes, and the addresses of some
+  /// nodes that have it.
   struct SettingsHolders {
     std::vector<std::string> Addresses;
     std::int64_t Next = 0;
   };
   SettingsHolders NewestSettings;
 
-  /// What others have told of an earlier process of this node.
+  /// Records that other members keep of an earlier process of this node.
   std::vector<DepartedRecord> DepartedBeforeRestart;
 
   std::vector<std::string> ProbeOrder;
@@ -108,42 +109,43 @@
   Instant StartedAt;
   Instant NextProbe;
   Instant NextSync;
-  /// Raised whenever a belief changes.
+  /// Incremented whenever a record or state changes.
   std::int64_t Revision = 0;
 };
 
 Membership makeMembership(MemberRecord self, std::vector<std::string> seeds,
                           std::uint64_t seed, Instant now);
 
-/// Addresses to ask as well while they are not those of known members.
+/// Adds addresses to contact while no known member has them.
 void addSeeds(Membership &state, const std::vector<std::string> &addresses,
               Instant now);
 
-/// Time of the next probe, answer or expiry that tick() has to see to.
+/// Time of the next probe, timeout or expiry for which tick() must be called.
 Instant nextDue(const Membership &state);
 
-/// Replaces the own record; its version is raised if anything changed.
+/// Replaces the own record and raises its version if anything has changed.
 void updateSelf(Membership &state, MemberRecord record);
 
-/// Probes, suspicions and anti-entropy that are due.
+/// Runs probes, suspicion timeouts and anti-entropy that are due and returns
+/// the messages to send.
 std::vector<OutgoingGossip> tick(Membership &state, Instant now);
 
 std::vector<OutgoingGossip> receive(Membership &state,
                                     const GossipMessage &message, Instant now);
 
-/// Messages that tell several members of the latest changes at once instead
-/// of waiting for the next probes.
+/// Returns messages that send the own record to several members at once
+/// instead of waiting for the next probes.
 std::vector<OutgoingGossip> broadcastSelf(Membership &state,
                                           std::size_t fanOut);
 
 /// Members other than this node that are not known to be dead or leaving.
 std::vector<const Member *> peers(const Membership &state);
 
-/// Those of the peers that are in this node's data centre.
+/// Peers in this node's data centre.
 std::vector<const Member *> nearPeers(const Membership &state);
 
-/// Place of this node among the members of its data centre in an order on which
-/// they agree, for duties that a few of each data centre have.
+/// Rank of this node among the members of its data centre, in an order on which
+/// they all agree; used to assign tasks to a few nodes of each data centre.
 std::size_t rankInDataCentre(const Membership &state);
 
 BucketHashes bucketHashes(const Membership &state);
