--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -47,7 +47,8 @@
 /// A transmission count above any limit.
 constexpr int FullyTransmitted = 1'000;
 
-/// Bounds the size of a datagram, in units of weightOf().
+/// Bounds the size of a datagram. A record weighs more the more endpoints it
+/// lists.
 constexpr std::size_t MaxWeight = 40;
 
 std::size_t weightOf(const MemberUpdate &update) {
