--- a/src/libhickoryglade/routerpolicy.h
+++ b/src/libhickoryglade/routerpolicy.h
@@ -80,9 +80,11 @@
                     const RouteRequest &request, Random &rng);
 };
 
-/// Indexes of the candidates that a router chooses from, all on working links:
-/// occasionally one on trial, otherwise the untried healthy ones, then
-/// suspects, then those on trial. Candidates that have been tried come last.
+/// Indexes of the candidates that a router chooses from, all on working links.
+/// Occasionally this is one on trial. Otherwise untried healthy ones are
+/// preferred, then suspect ones, then those on trial. Candidates that have been
+/// tried come last, except that a request that is not idempotent prefers the
+/// better standing.
 std::vector<std::size_t>
 eligibleCandidates(std::span<const Candidate> candidates,
                    const RouteRequest &request, Random &rng);
