--- a/src/libhickoryglade/leaseledger.cpp
+++ b/src/libhickoryglade/leaseledger.cpp
@@ -41,8 +41,8 @@
          });
 }
 
-/// Even where no floor is set, the last healthy endpoint stays.
-int leastRemaining(const LeaseRecord &record) {
+/// The last healthy endpoint is never ejected, even if no floor is set.
+int minRemaining(const LeaseRecord &record) {
   return std::max(record.Floor, 1);
 }
 
@@ -56,7 +56,7 @@
 
 bool isGrantable(const LeaseLedger &ledger, const LeaseRecord &record) {
   return record.Subject.Kind == LeaseKind::Keeper ||
-         remainingHealthy(ledger, record) >= leastRemaining(record);
+         remainingHealthy(ledger, record) >= minRemaining(record);
 }
 
 std::vector<LeaseEvent> acquire(LeaseLedger &ledger, std::int64_t offset,
@@ -82,7 +82,7 @@
   return events;
 }
 
-/// A reader that started late learns of a lease by its renewal.
+/// For a reader that started after the grant, a renewal creates the lease.
 std::vector<LeaseEvent> renew(LeaseLedger &ledger, std::int64_t offset,
                               const LeaseRecord &record) {
   auto it = ledger.Leases.find(record.Subject);
@@ -155,12 +155,12 @@
     return std::nullopt;
   auto action = parseName<LeaseAction>(ActionNames, in["action"]);
   auto kind = parseName<LeaseKind>(KindNames, in["kind"]);
-  bool isWhole = isText(in, "service") && isText(in, "name") &&
-                 isText(in, "node") && isText(in, "author") &&
-                 isInteger(in, "boot_id") && isInteger(in, "floor") &&
-                 isInteger(in, "challenged_at") && in.contains("healthy") &&
-                 isTextList(in["healthy"]);
-  if (!action || !kind || !isWhole)
+  bool isComplete = isText(in, "service") && isText(in, "name") &&
+                    isText(in, "node") && isText(in, "author") &&
+                    isInteger(in, "boot_id") && isInteger(in, "floor") &&
+                    isInteger(in, "challenged_at") && in.contains("healthy") &&
+                    isTextList(in["healthy"]);
+  if (!action || !kind || !isComplete)
     return std::nullopt;
   return LeaseRecord{*action,
                      {*kind, in["service"], in["name"]},
--- a/src/libhickoryglade/leaseledger.h
+++ b/src/libhickoryglade/leaseledger.h
@@ -8,11 +8,11 @@
 
 namespace hickoryglade {
 
-/// What a lease gives its holder.
+/// The right that a lease grants.
 enum class LeaseKind {
   /// The right to keep an endpoint out of rotation.
   Ejection,
-  /// Membership in the roster of those who keep idempotency keys.
+  /// A place in the roster of keepers of idempotency keys.
   Keeper,
 };
 
@@ -24,7 +24,7 @@
   auto operator<=>(const LeaseHolder &) const = default;
 };
 
-/// What a lease is about: an endpoint of a service, or a keeper's node.
+/// The object of a lease: an endpoint of a service, or the node of a keeper.
 struct LeaseSubject {
   LeaseKind Kind = LeaseKind::Ejection;
   /// Qualified service name; empty for keepers.
@@ -46,12 +46,12 @@
 
 enum class LeaseAction {
   Acquire,
-  /// Answers a challenge and tells late readers that the lease exists.
+  /// Answers a challenge and shows the lease to readers that started late.
   Renew,
   Release,
-  /// Asks the holder for a sign of life.
+  /// Requires the holder to renew the lease.
   Challenge,
-  /// Ends a lease whose challenge has stood unanswered for a whole term.
+  /// Ends a lease whose challenge has not been answered within ChallengeTerm.
   Evict,
 };
 
@@ -59,12 +59,13 @@
 struct LeaseRecord {
   LeaseAction Action = LeaseAction::Acquire;
   LeaseSubject Subject;
-  /// Holder; for challenges and evictions, of the lease in question.
+  /// The holder; for challenges and evictions, the holder of the challenged
+  /// lease.
   LeaseHolder Holder;
   /// Node that wrote the record.
   std::string Author;
-  /// Acquire of an ejection: healthy endpoints that the writer knows besides
-  /// the subject, and how many must remain.
+  /// Acquire of an ejection: healthy endpoints known to the author besides the
+  /// subject, and the number that must remain.
   std::vector<std::string> Healthy;
   int Floor = 0;
   /// Evict: offset of the challenge.
@@ -73,7 +74,7 @@
   bool operator==(const LeaseRecord &) const = default;
 };
 
-/// Change of a lease, for those who watch the ledger.
+/// Change of a lease, as reported to observers of the ledger.
 struct LeaseEvent {
   LeaseSubject Subject;
   LeaseHolder Holder;
@@ -90,30 +91,30 @@
   bool operator==(const LeaseEvent &) const = default;
 };
 
-/// All leases, folded from the stream in offset order: every reader reaches
-/// the same result.
+/// All leases, computed from the stream in offset order, so that every reader
+/// gets the same result.
 struct LeaseLedger {
   std::map<LeaseSubject, Lease> Leases;
-  /// Offset of the next record to fold.
+  /// Offset of the next record to apply.
   std::int64_t Next = 0;
 };
 
 std::string encodeLease(const LeaseRecord &record);
 std::optional<LeaseRecord> decodeLease(const std::string &data);
 
-/// Folds the record at an offset; malformed ones change nothing.
+/// Applies the record at an offset. Malformed records change nothing.
 std::vector<LeaseEvent> foldLease(LeaseLedger &ledger, std::int64_t offset,
                                   const std::string &data);
 
-/// True if the subject's lease is held by just this process.
+/// True if exactly this process holds the lease of the subject.
 bool isHeldBy(const LeaseLedger &ledger, const LeaseSubject &subject,
               const LeaseHolder &holder);
 
-/// Nodes that hold keeper leases, in order of their names.
+/// Holders of keeper leases, ordered by node name.
 std::vector<LeaseHolder> keeperRoster(const LeaseLedger &ledger);
 
-/// The only keeper that may challenge and evict the given one: the next in
-/// the order of names. Empty if there is no other.
+/// The only keeper that may challenge and evict the given one: the next by node
+/// name, wrapping around. Empty if there is no other keeper.
 std::string keeperSuccessor(const LeaseLedger &ledger, const std::string &node);
 
 } // namespace hickoryglade
--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -41,8 +41,9 @@
          (member->IsDead && member->Holder == holder);
 }
 
-/// A keeper that joined between another and its successor takes over the
-/// successor's part only once that one knows, for it may have promised.
+/// A keeper that joins between another keeper and its successor becomes the
+/// successor only once the former successor has read its grant, since that one
+/// may have promised not to challenge.
 bool hasTakenOver(const LeaseAgent &agent, const std::string &keeper,
                   const std::vector<LedgerMember> &members) {
   LeaseSubject own{LeaseKind::Keeper, "", agent.Self.Node};
@@ -56,8 +57,8 @@
   return former.empty() || (member && member->LedgerNext > it->second.Since);
 }
 
-/// Only a keeper's successor acts against it; against the holder of an
-/// ejection anyone may, and the first record counts.
+/// Only its successor may challenge a keeper. Any node may challenge the holder
+/// of an ejection; the first record counts.
 bool isResponsible(const LeaseAgent &agent, const LeaseSubject &subject,
                    const std::vector<LedgerMember> &members) {
   return subject.Kind != LeaseKind::Keeper ||
@@ -83,10 +84,12 @@
 
 } // namespace
 
-void noteRead(LeaseAgent &agent, Instant beganAt) { agent.ReadAt = beganAt; }
+void noteRead(LeaseAgent &agent, Instant startedAt) {
+  agent.ReadAt = startedAt;
+}
 
-void noteSuccessorPromise(LeaseAgent &agent, Instant askedAt) {
-  agent.SuccessorPromisedAt = askedAt;
+void noteSuccessorPromise(LeaseAgent &agent, Instant requestedAt) {
+  agent.SuccessorPromisedAt = requestedAt;
 }
 
 std::vector<LeaseEvent> applyLeaseRecord(LeaseAgent &agent, std::int64_t offset,
--- a/src/libhickoryglade/leasepolicy.h
+++ b/src/libhickoryglade/leasepolicy.h
@@ -10,74 +10,74 @@
 
 namespace hickoryglade {
 
-/// A lease is in force for this long after its holder last began a read of
-/// the stream that showed no unanswered challenge.
+/// Validity of a lease, counted from the start of the holder's last read of the
+/// stream that showed no unanswered challenge.
 constexpr Micros LeaseTerm = std::chrono::seconds(10);
 
-/// A challenger waits this long for an answer: longer than any lease that
-/// was in force when the challenge was made can last by a clock that runs a
-/// little slower.
+/// Time that a challenger waits for an answer. It exceeds LeaseTerm, so that a
+/// lease in force at the challenge has ended even by a slightly slower clock.
 constexpr Micros ChallengeTerm = std::chrono::seconds(15);
 
-/// Leases are renewed this often, so that late readers learn of them.
+/// Renewal period, so that readers that start late see all leases.
 constexpr Micros RenewPeriod = std::chrono::seconds(60);
 
-/// A node's own part in the ledger.
+/// State of a node that reads the ledger and writes lease records.
 struct LeaseAgent {
   LeaseHolder Self;
   Instant StartedAt;
   LeaseLedger Ledger;
-  /// When the last read that succeeded began.
+  /// Start of the last successful read.
   std::optional<Instant> ReadAt;
-  /// When the last voucher was asked for that the successor has given.
+  /// Time of the last request for a promise that the successor has given.
   std::optional<Instant> SuccessorPromisedAt;
-  /// Challenges of our own, by subject: when the log had taken them.
+  /// Time at which each open challenge was read from the stream.
   std::map<LeaseSubject, Instant> Challenges;
-  /// Promises not to challenge a keeper before the given time.
+  /// Keepers that this node has promised not to challenge, and until when.
   std::map<std::string, Instant> Promises;
   std::map<LeaseSubject, Instant> RenewedAt;
-  /// Challenges that we have written but not yet read back.
+  /// Challenges and evictions that have been written but not yet read back.
   std::map<LeaseSubject, Instant> UnreadRecords;
 };
 
-/// Notes a read of the stream that began at a given time and has succeeded.
-void noteRead(LeaseAgent &agent, Instant beganAt);
+/// Records a successful read of the stream that started at the given time.
+void noteRead(LeaseAgent &agent, Instant startedAt);
 
-/// Notes that the successor promised not to challenge this keeper; the
-/// promise was asked for at the given time.
-void noteSuccessorPromise(LeaseAgent &agent, Instant askedAt);
+/// Records that the successor has promised not to challenge this keeper; the
+/// promise was requested at the given time.
+void noteSuccessorPromise(LeaseAgent &agent, Instant requestedAt);
 
-/// Folds one record and gives what changed.
+/// Applies one record and returns the changes.
 std::vector<LeaseEvent> applyLeaseRecord(LeaseAgent &agent, std::int64_t offset,
                                          const std::string &data, Instant now);
 
-/// End of a lease of our own by our clock; nothing if it is not held.
+/// End of this node's lease by its own clock; nothing if the lease is not held.
 std::optional<Instant> leaseEnd(const LeaseAgent &agent,
                                 const LeaseSubject &subject);
 
-/// Renewals that are due, and answers to challenges.
+/// Returns renewals that are due and answers to challenges.
 std::vector<LeaseRecord> dueRenewals(LeaseAgent &agent, Instant now);
 
-/// A holder of which no member has been heard for this long is gone.
+/// A holder whose node has not become a known member within this time after the
+/// start is considered gone.
 constexpr Micros UnknownHolderTimeout = std::chrono::seconds(60);
 
-/// A member as far as the ledger is concerned.
+/// The properties of a member that matter for leases.
 struct LedgerMember {
-  /// The latest process under the node's name.
+  /// The node's latest process.
   LeaseHolder Holder;
-  /// Offset up to which it says that it has read the ledger.
+  /// Offset up to which the node reports to have read the ledger.
   std::int64_t LedgerNext = 0;
   bool IsDead = false;
 };
 
-/// Challenges and evictions against holders that are dead, replaced by a
-/// later process, or were never heard of.
+/// Returns challenges and evictions of holders that are dead, replaced by a
+/// later process, or unknown to the membership.
 std::vector<LeaseRecord> dueChallenges(LeaseAgent &agent,
                                        const std::vector<LedgerMember> &members,
                                        Instant now);
 
-/// Promises not to challenge a keeper for a whole challenge term; refuses if
-/// this node is not the successor or has challenged already.
+/// Promises not to challenge a keeper for ChallengeTerm. Returns false if this
+/// node is not the successor or has already challenged the keeper.
 bool promise(LeaseAgent &agent, const LeaseHolder &keeper, Instant now);
 
 } // namespace hickoryglade
