--- a/src/libhickoryglade/keyplacement.cpp
+++ b/src/libhickoryglade/keyplacement.cpp
@@ -37,7 +37,7 @@
                      const LeaseHolder &it) {
     return std::ranges::find(all, it) != all.end();
   };
-  auto isKnowing = [&](const LeaseHolder &it) {
+  auto isCovered = [&](const LeaseHolder &it) {
     return contains(asked, it) || contains(more, it) || contains(HandedOn, it);
   };
   for (const Epoch &epoch : Past) {
@@ -45,7 +45,7 @@
       continue;
     std::vector<LeaseHolder> ranked = rankKeepers(epoch.Roster, key);
     ranked.resize(std::min(ranked.size(), KeyCopies));
-    if (std::ranges::any_of(ranked, isKnowing))
+    if (std::ranges::any_of(ranked, isCovered))
       continue;
     auto alive = std::ranges::find_if(
         ranked, [&](const LeaseHolder &it) { return contains(Roster, it); });
--- a/src/libhickoryglade/keyplacement.h
+++ b/src/libhickoryglade/keyplacement.h
@@ -10,39 +10,41 @@
 
 namespace hickoryglade {
 
-/// Copies of each key's record: at the keeper and at the next in rank.
+/// Copies of each key's record: at the keeper and at the second in rank.
 constexpr std::size_t KeyCopies = 2;
 
-/// Keepers of a key, best first, by rendezvous hashing on node names: when a
-/// keeper goes, the next in rank, which holds the copy, takes its place.
+/// Keepers of a key, best first, by rendezvous hashing of node names. When a
+/// keeper leaves, the next in rank, which holds the copy, replaces it.
 std::vector<LeaseHolder> rankKeepers(const std::vector<LeaseHolder> &roster,
                                      const std::string &key);
 
-/// Rosters that were in force, to tell where records of a key may lie.
+/// History of the keeper rosters, to find the nodes that may have the record of
+/// a key.
 class KeyPlacement {
 public:
-  /// Notes a changed roster. Keepers in handedOn have given their records to
-  /// their heirs before they left.
+  /// Sets the current roster. Keepers in handedOn transferred their records to
+  /// their successors before they left.
   void note(std::vector<LeaseHolder> roster,
             const std::vector<LeaseHolder> &handedOn, Instant now);
 
   const std::vector<LeaseHolder> &current() const;
 
-  /// Processes to ask, besides those asked already, before a key that was
-  /// used within its lifetime would surely be known: one of its places in
-  /// each roster of that time. Nothing if a roster's places are all lost.
+  /// Returns the keepers to query, besides those asked already, to be sure to
+  /// find a key that was used within its lifetime: one that held a copy of its
+  /// record in each roster of that time. Nothing if all copies of a roster are
+  /// lost.
   std::optional<std::vector<LeaseHolder>>
   formerKeepersToQuery(const std::string &key,
                        const std::vector<LeaseHolder> &asked, Micros lifetime,
                        Instant now) const;
 
-  /// Forgets rosters that ended longer ago than the longest lifetime.
+  /// Drops rosters that were replaced longer ago than the longest lifetime.
   void forget(Micros longestLifetime, Instant now);
 
 private:
   struct Epoch {
     std::vector<LeaseHolder> Roster;
-    /// When the next roster replaced this one.
+    /// Time at which the next roster replaced this one.
     Instant End;
   };
 
--- a/src/libhickoryglade/keytable.cpp
+++ b/src/libhickoryglade/keytable.cpp
@@ -9,8 +9,8 @@
                                                : 0;
 }
 
-/// An answer that is too large to keep leaves only the fact that it was given.
-KeyEntry bounded(KeyEntry entry) {
+/// Of an answer above the size limit, only the fact that it was sent is stored.
+KeyEntry dropLargeAnswer(KeyEntry entry) {
   if (bytesOf(entry) <= KeyTable::MaxAnswerBytes)
     return entry;
   entry.Answer = nullptr;
@@ -26,7 +26,7 @@
 }
 
 const KeyEntry &KeyTable::put(const std::string &key, KeyEntry entry) {
-  entry = bounded(std::move(entry));
+  entry = dropLargeAnswer(std::move(entry));
   auto [it, isNew] = Entries.try_emplace(key, entry);
   KeyEntry &own = it->second;
   bool isOwnEnded = own.State != KeyState::Running;
@@ -59,7 +59,8 @@
   }
 }
 
-/// Drops the answers that expire first; that the work has run stays known.
+/// Drops the answers that expire first. The entries themselves stay, so that it
+/// remains known that the work has run.
 void KeyTable::shrink() {
   for (auto it = ByExpiry.begin(); it != ByExpiry.end() && Bytes > MaxBytes;
        ++it) {
--- a/src/libhickoryglade/keytable.h
+++ b/src/libhickoryglade/keytable.h
@@ -11,7 +11,7 @@
 
 namespace hickoryglade {
 
-/// An answer kept for resent requests.
+/// An answer stored for resent requests.
 struct KeptAnswer {
   int Status = 0;
   std::vector<std::pair<std::string, std::string>> Headers;
@@ -20,17 +20,17 @@
 
 /// Values are part of the protocol between nodes.
 enum class KeyState {
-  /// The first run has not ended as far as the keeper knows.
+  /// The keeper has not been notified of the end of the first run.
   Running,
-  /// It has ended; the answer is kept.
+  /// The first run has ended; its answer is stored.
   Done,
-  /// It has ended; the answer was too large or has been dropped.
+  /// The first run has ended; its answer was too large or has been dropped.
   AnswerGone,
-  /// It has ended in a way that does not tell whether the work ran.
+  /// The first run has ended; whether the work was done is unknown.
   Unclear,
 };
 
-/// What is known of an idempotency key.
+/// Record of an idempotency key.
 struct KeyEntry {
   /// Request that holds the key.
   std::string RequestId;
@@ -48,30 +48,30 @@
   Done,
   AnswerGone,
   Unclear,
-  /// The key belongs to a request with other content.
+  /// The key belongs to a request with different content.
   Reused,
-  /// This node does not keep the key, or not yet.
+  /// This node is not the keeper of the key, or not yet.
   NotKeeper,
-  /// Records that would tell have been lost.
+  /// All copies of an earlier record may have been lost.
   Unvouched,
-  /// The second copy cannot be made now.
+  /// The second copy cannot be written now.
   NoCopy,
 };
 
-/// Keys kept by one node, for itself or as the second copy.
+/// Key records stored on one node, as the keeper's or as the second copy.
 class KeyTable {
 public:
-  /// Greatest answer that is kept, and all of them together.
+  /// Limits of the size of one stored answer and of all of them together.
   static constexpr std::size_t MaxAnswerBytes = 64 * 1024;
   static constexpr std::size_t MaxBytes = 8 * 1024 * 1024;
 
   const KeyEntry *find(const std::string &key) const;
 
-  /// Takes a record; what is known to have ended is not undone. Returns the
-  /// record in force.
+  /// Stores a record, unless the key belongs to another request or its run is
+  /// known to have ended. Returns the record in force.
   const KeyEntry &put(const std::string &key, KeyEntry entry);
 
-  /// Frees a key whose request is known not to have run.
+  /// Removes a key whose request is known not to have run.
   void release(const std::string &key, const std::string &requestId);
 
   void expire(Instant now);
@@ -87,7 +87,7 @@
   std::size_t Bytes = 0;
 };
 
-/// Verdict for a request that meets an entry.
+/// Verdict on a request whose key has an entry.
 KeyVerdict evaluateKey(const KeyEntry &entry, const std::string &requestId,
                        std::uint64_t fingerprint);
 
