--- a/src/libhickoryglade/settingslog.cpp
+++ b/src/libhickoryglade/settingslog.cpp
@@ -51,7 +51,7 @@
                          record["as_of"], atMs(record)};
 }
 
-/// Revisions start at 1 so that 0 means "never set": offset + 1.
+/// A revision is the record's offset + 1, so that 0 means "never set".
 std::int64_t revisionAt(std::int64_t offset) { return offset + 1; }
 
 ChangeVerdict evaluateChange(const SettingsState &state,
@@ -99,8 +99,8 @@
   return result;
 }
 
-/// A refresh written after a provisional change tells whether that change
-/// was accepted by those who knew its base.
+/// A refresh written after a provisional change shows whether readers that
+/// knew its base have accepted it.
 bool overridesProvisional(const SettingsState &state,
                           const SettingsRefresh &refresh) {
   auto it = state.Provisional.find(refresh.Path);
@@ -201,7 +201,8 @@
   if (peer.Next <= state.Next)
     return false;
   state.Next = peer.Next;
-  // A peer that has started since knows nothing of values dropped before.
+  // A peer that started after a node was removed does not list it at all, so
+  // nodes missing from its tree are removed here too.
   for (auto &[path, node] : state.Tree.Nodes)
     if (!node.Value.is_null() && !peer.Tree.Nodes.contains(path))
       node = {nullptr, peer.Next - 1};
--- a/src/libhickoryglade/settingslog.h
+++ b/src/libhickoryglade/settingslog.h
@@ -11,30 +11,30 @@
 
 namespace hickoryglade {
 
-/// An operator's change, as it stands in the log.
+/// An operator's change, as written to the log.
 struct SettingsChange {
   /// Unique id; a second record with the same id changes nothing.
   std::string Id;
   std::string Path;
-  /// Revision of the path that the operator saw.
+  /// Revision of the path on which the operator based the change.
   std::int64_t Base = 0;
   /// Null removes the node.
   nlohmann::json Value;
   std::string Author;
-  /// When the record was written, by the writer's wall clock in milliseconds.
-  /// Only a hint for refreshing; no verdict depends on it.
+  /// Time of writing by the writer's wall clock, in milliseconds. It only
+  /// affects refreshing; no verdict depends on it.
   std::int64_t AtMs = 0;
 
   bool operator==(const SettingsChange &) const = default;
 };
 
-/// A node's value still in force, appended anew before its record expires.
+/// A value in force, appended again before its record expires.
 struct SettingsRefresh {
   std::string Path;
   nlohmann::json Value;
-  /// Original revision, so that nothing goes back.
+  /// Original revision, so that a refresh cannot overwrite a newer value.
   std::int64_t Revision = 0;
-  /// Offset up to which the writer had read when it made the record.
+  /// Offset up to which the writer had read the log.
   std::int64_t AsOf = 0;
   /// As in SettingsChange.
   std::int64_t AtMs = 0;
@@ -44,19 +44,19 @@
 
 enum class ChangeOutcome { Accepted, Conflict, Invalid, Duplicate };
 
-/// What became of a change; every reader reaches the same verdict.
+/// Result of a change. Every reader computes the same verdict.
 struct ChangeVerdict {
   std::string Id;
   std::string Path;
   ChangeOutcome Outcome = ChangeOutcome::Accepted;
-  /// Revision in force at the path after the change was judged.
+  /// Revision in force at the path after the change.
   std::int64_t Revision = 0;
   std::vector<SettingsFault> Faults;
 
   bool operator==(const ChangeVerdict &) const = default;
 };
 
-/// Where and when a path's newest record was written.
+/// Offset and time of a path's newest record.
 struct RecordPosition {
   std::int64_t Offset = 0;
   std::int64_t AtMs = 0;
@@ -64,26 +64,27 @@
   bool operator==(const RecordPosition &) const = default;
 };
 
-/// Result of folding the settings stream up to an offset.
+/// The settings as computed from the stream up to an offset.
 struct SettingsState {
   SettingsTree Tree;
-  /// Offset of the next record to fold.
+  /// Offset of the next record to apply.
   std::int64_t Next = 0;
   /// Each path's newest record, for refreshing.
   std::map<std::string, RecordPosition> LastWritten;
-  /// Paths whose change was accepted without knowledge of its base.
+  /// Paths whose change was accepted although its base was unknown, with the
+  /// change's offset.
   std::map<std::string, std::int64_t> Provisional;
-  /// Verdicts by change id, oldest dropped first.
+  /// Verdicts by change id; the oldest are dropped first.
   std::map<std::string, ChangeVerdict> Verdicts;
   std::vector<std::string> VerdictOrder;
-  /// True if records before the first folded one had expired.
+  /// True if records before the first one that was read had expired.
   bool StartedLate = false;
 };
 
-/// Result of folding one record.
+/// Result of applying one record.
 struct FoldResult {
   std::optional<ChangeVerdict> Verdict;
-  /// Reason why the record was passed over; empty if it was well formed.
+  /// Reason for skipping the record; empty if it was well formed.
   std::string Rejected;
   bool IsTreeChanged = false;
 };
@@ -91,15 +92,16 @@
 std::string encodeChange(const SettingsChange &change);
 std::string encodeRefresh(const SettingsRefresh &refresh);
 
-/// Folds the record at an offset. Records must come in offset order; an
+/// Applies the record at an offset. Records must be passed in offset order; an
 /// offset below state.Next is ignored.
 FoldResult foldRecord(SettingsState &state, std::int64_t offset,
                       const std::string &data);
 
-/// Takes a peer's state: per path, the higher revision wins.
+/// Merges a peer's state; for each path, the higher revision wins. Returns true
+/// if the tree has changed.
 bool mergeSnapshot(SettingsState &state, const SettingsState &peer);
 
-/// A whole tree of settings, published at once under a rising version.
+/// A whole tree of settings, published at once under an increasing version.
 struct SettingsDocument {
   std::int64_t Version = 0;
   /// Own values by path.
@@ -111,19 +113,19 @@
 /// Faults that make a document unusable as a whole.
 std::vector<SettingsFault> checkDocument(const SettingsDocument &document);
 
-/// Takes a peer's tree in place of the own if it comes from a later document.
-/// Returns true if it did.
+/// Replaces the own tree by a peer's if that is from a later document. Returns
+/// true if it was replaced.
 bool adoptSnapshot(SettingsState &state, const SettingsState &peer);
 
-/// Puts a checked document in the place of the tree. Returns false, and changes
-/// nothing, if its version is not above the one in force.
+/// Replaces the tree by a checked document. Returns false and changes nothing
+/// if the document's version is not above the one in force.
 bool replaceTree(SettingsState &state, const SettingsDocument &document);
 
-/// Marks that records below an offset are no longer kept.
+/// Continues at the first retained record if records before it have expired.
 void skipTo(SettingsState &state, std::int64_t first);
 
-/// The value that most needs to be written again because its newest record
-/// is below the given place in offset or in time, if any.
+/// Returns a value whose newest record is older than the given position, in
+/// offset or in time, and must be written again; nothing if there is none.
 std::optional<SettingsRefresh> dueRefresh(const SettingsState &state,
                                           const RecordPosition &oldestSafe);
 
--- a/src/libhickoryglade/settingsschema.cpp
+++ b/src/libhickoryglade/settingsschema.cpp
@@ -45,7 +45,7 @@
 struct WorkspaceRule {};
 struct QuarantineReleaseRule {};
 
-/// A key of the schema and the highest level at which it may stand.
+/// A key of the schema and the highest level at which it is allowed.
 struct KeyRule {
   std::string_view Key;
   SettingsLevel From;
@@ -240,7 +240,8 @@
          value.get<std::int64_t>() <= MaxWeight;
 }
 
-/// A split names services of the route's workspace; some weight counts.
+/// A split maps services of the route's workspace to weights, at least one of
+/// which is above 0.
 std::string fault(const SplitRule &, const json &value) {
   bool isWellFormed = value.is_object() && !value.empty();
   std::int64_t sum = 0;
--- a/src/libhickoryglade/settingsschema.h
+++ b/src/libhickoryglade/settingsschema.h
@@ -9,7 +9,7 @@
 
 namespace hickoryglade {
 
-/// One fault found in a settings value.
+/// A fault in a settings value.
 struct SettingsFault {
   /// Path of the tree node, then the key: "/shop/orders: floor".
   std::string Where;
@@ -21,20 +21,20 @@
 /// Levels of the settings tree.
 enum class SettingsLevel { Fleet, Workspace, Service, Route };
 
-/// Splits "/a/b" into its names; the root gives none.
+/// Splits "/a/b" into its names; the root has none.
 std::vector<std::string> splitSettingsPath(const std::string &path);
 
-/// Checks the form of a path; an empty reason means that it is well formed.
+/// Returns what is wrong with a path, or an empty string if it is well formed.
 std::string settingsPathFault(const std::string &path);
 
-/// Level of a well formed path.
+/// Level of a well-formed path.
 SettingsLevel settingsLevel(const std::string &path);
 
 /// Checks one node's own value against the schema of its level.
 std::vector<SettingsFault> checkSettingsValue(const std::string &path,
                                               const nlohmann::json &value);
 
-/// Overrides the fields of a policy that a checked value names.
+/// Overrides the fields of a policy that a checked value contains.
 ServicePolicy applySettings(ServicePolicy base, const nlohmann::json &value);
 
 } // namespace hickoryglade
--- a/src/libhickoryglade/settingstree.cpp
+++ b/src/libhickoryglade/settingstree.cpp
@@ -16,7 +16,7 @@
   return &it->second;
 }
 
-/// Identity of a route; a path's descendants never inherit these.
+/// Keys that identify a route; they are never inherited.
 bool isRouteKey(const std::string &key) {
   return key == "host" || key == "prefix" || key == "workspace" ||
          key == "split";
--- a/src/libhickoryglade/settingstree.h
+++ b/src/libhickoryglade/settingstree.h
@@ -11,23 +11,24 @@
 
 namespace hickoryglade {
 
-/// Own value of one tree node and the log offset that set it.
+/// Own value of a tree node and the revision that set it.
 struct SettingsNode {
   nlohmann::json Value;
-  /// Offset of the change in force; a removed node keeps it with a null value.
+  /// Revision of the change in force; a removed node has a null value and the
+  /// revision of its removal.
   std::int64_t Revision = 0;
 
   bool operator==(const SettingsNode &) const = default;
 };
 
-/// The tree of published settings, as a value.
+/// The tree of published settings.
 struct SettingsTree {
   std::map<std::string, SettingsNode> Nodes;
 
   bool operator==(const SettingsTree &) const = default;
 };
 
-/// A key's value in force at a path and the path that it is inherited from.
+/// A key's value in force at a path, and the path that defines it.
 struct EffectiveValue {
   std::string Key;
   nlohmann::json Value;
@@ -41,7 +42,7 @@
 /// The path itself and its ancestors, root first.
 std::vector<std::string> pathWithAncestors(const std::string &path);
 
-/// All keys in force at a path, with their origin.
+/// All keys in force at a path, each with the path that defines it.
 std::vector<EffectiveValue> effectiveValues(const SettingsTree &tree,
                                             const std::string &path);
 
