--- a/src/libhickoryglade/servicepolicy.h
+++ b/src/libhickoryglade/servicepolicy.h
@@ -10,78 +10,80 @@
 
 namespace hickoryglade {
 
-/// Effective settings of one service or route after inheritance.
+/// Effective settings of a service or route after inheritance.
 struct ServicePolicy {
-  /// Endpoints that must stay in rotation whatever is ejected.
+  /// Minimum number of endpoints that ejections leave in rotation.
   int Floor = 0;
-  /// Time allowed for a request whose caller names none.
+  /// Timeout of a request whose caller gives none.
   Millis Timeout{30'000};
-  /// Longest time for a request, whatever its caller allows.
+  /// Upper limit of a request's timeout, whatever its caller gives.
   Millis TimeLimit{86'400'000};
-  /// Time within which an answer has its full value to the caller.
+  /// Latency up to which an answer has its full value to the caller.
   Millis TargetLatency{30'000};
-  /// Rank among requests that compete for a slot; 0 goes first.
+  /// Priority among requests that wait for a slot; 0 is the highest.
   int Priority = 0;
-  /// Endpoints to which one request may be sent.
+  /// Maximum number of endpoints to which a request is sent.
   int MaxAttempts = 4;
-  /// Whether requests may run more than once, if settings say so; otherwise
-  /// their methods decide.
+  /// Whether requests may run more than once. If not set, their methods
+  /// decide.
   std::optional<bool> Idempotent;
   std::int64_t MaxHeaderBytes = 32 * 1024;
-  /// Time for a caller to send a request's header.
+  /// Timeout for receiving a request's header.
   Millis HeaderTimeout{10'000};
   /// Time after which a caller's idle connection is closed.
   Millis IdleTimeout{60'000};
   std::int64_t MaxBodyBytes = 8 * 1024 * 1024;
-  /// Requests that may wait at one gate.
+  /// Maximum number of requests queued at one gate.
   int QueueLimit = 1'000;
-  /// Longest expected wait at which a request is still let into a queue.
+  /// Longest expected wait at which a request is still queued.
   Millis MaxWait{500};
-  /// Longest expected wait near an entry before its request goes to another
-  /// data centre, with the router "nearest".
+  /// Longest expected wait in the entry's data centre before the router
+  /// "nearest" sends a request to another one.
   Millis NearWait{150};
   std::string Router = "tickets";
   std::string Admission = "deadline";
   std::string Health = "peer_comparison";
   QueueOrder Order = QueueOrder::Priority;
-  /// Share of a service's slots that long requests may hold while short ones
-  /// wait.
+  /// Share of a service's slots that long requests may take while short ones
+  /// are queued.
   int LongSlotsPercent = 34;
-  /// Run time from which a request counts as long.
+  /// Expected run time above which a request counts as long.
   Millis LongAfter{400};
-  /// Silence of a running request from which its endpoint becomes suspect.
+  /// Time without an answer to a running request from which its endpoint may
+  /// become suspect.
   Millis StallAfter{1'200};
-  /// How long the answer to an idempotency key is kept.
+  /// Time for which an idempotency key and its answer are kept.
   Millis KeyLifetime{600'000};
   /// Retries allowed as a share of fresh requests.
   int RetryBudgetPercent = 20;
-  /// Retries beyond that share that the service's endpoints may see together
-  /// in 10 s.
+  /// Retries beyond that share that all endpoints of the service together may
+  /// receive in 10 s.
   int RetryAllowance = 1'000;
-  /// Failures in a row from which an endpoint is doubtful.
+  /// Consecutive failures after which an endpoint is doubtful.
   int FailuresForDoubt = 3;
-  /// Refusals in a row, though it had a slot free, from which an endpoint is
-  /// doubtful. Work that is shed has not run and goes elsewhere at little cost,
-  /// so that more of it is borne than of failures.
+  /// Consecutive refusals in spite of a free slot after which an endpoint is
+  /// doubtful. A refused request has not run and is retried elsewhere at little
+  /// cost, so refusals are tolerated longer than failures.
   int ShedsForDoubt = 3;
-  /// Time that a doubtful endpoint rests before a trial, at first and at most;
-  /// it doubles with each relapse.
+  /// First and longest time without requests for a doubtful endpoint before its
+  /// trial; the time doubles with each relapse.
   Millis FirstRest{1'000};
   Millis MostRest{64'000};
-  /// An endpoint on trial to which no request comes for this long is taken for
+  /// An endpoint on trial that receives no request for this long is considered
   /// healthy.
   Millis TrialIdleTimeout{86'400'000};
-  /// One suitable request in this many goes to an endpoint on trial.
+  /// One in this many suitable requests goes to an endpoint on trial.
   int TrialOdds = 8;
   /// Whether idempotent requests go to doubtful endpoints while no healthy one
-  /// has a slot free.
+  /// has a free slot.
   bool SpillsToDoubtful = false;
-  /// Whether requests that may run only once avoid endpoints whose running work
-  /// is silent for longer than usual, long before that makes them doubtful.
+  /// Whether requests that may run only once avoid endpoints that take longer
+  /// than usual to answer running requests, long before that makes the
+  /// endpoints doubtful.
   bool AvoidsSilent = false;
-  /// Weight of the workspace in the fair sharing of a service.
+  /// Weight of the workspace in the fair queueing of a service.
   int Share = 1;
-  /// How long a request that crashed endpoints stays quarantined.
+  /// Time for which a request that has crashed endpoints stays quarantined.
   Millis QuarantineTerm{600'000};
   std::vector<std::string> IdempotentMethods = {"GET",   "HEAD", "OPTIONS",
                                                 "TRACE", "PUT",  "DELETE"};
