--- a/src/libhickoryglade/errorkind.cpp
+++ b/src/libhickoryglade/errorkind.cpp
@@ -88,11 +88,11 @@
   constexpr int unavailable = 503;
   constexpr int gatewayTimeout = 504;
   int status = errorInfo(error.Kind).Status;
-  bool isPromise = status == unavailable || status == 408;
-  bool isVague = status == badGateway || status == gatewayTimeout;
-  if (error.Run == RunState::Unknown && isPromise)
+  bool impliesNotRun = status == unavailable || status == 408;
+  bool impliesUnknown = status == badGateway || status == gatewayTimeout;
+  if (error.Run == RunState::Unknown && impliesNotRun)
     return badGateway;
-  if (error.Run == RunState::NotRun && isVague)
+  if (error.Run == RunState::NotRun && impliesUnknown)
     return unavailable;
   return status;
 }
--- a/src/libhickoryglade/errorkind.h
+++ b/src/libhickoryglade/errorkind.h
@@ -7,11 +7,11 @@
 
 namespace hickoryglade {
 
-/// Whether the work of a request may have had an effect.
+/// Whether a request may have run.
 enum class RunState { NotRun, Unknown };
 
-/// The closed list of reasons for which the fleet answers in place of an
-/// endpoint. Values are part of the protocol between nodes: append only.
+/// Reasons for which the fleet answers in place of an endpoint. Values are part
+/// of the protocol between nodes; new ones are appended.
 enum class ErrorKind {
   BadRequest,
   HeadersTooLarge,
@@ -42,7 +42,7 @@
   ContentSuspect,
 };
 
-/// Row of the table from error kind to answer.
+/// Properties of an error kind and of the answer to the caller.
 struct ErrorInfo {
   ErrorKind Kind;
   std::string_view Name;
@@ -52,7 +52,7 @@
   std::string_view Title;
 };
 
-/// A failure on its way to the caller.
+/// A failure, as it is returned to the caller.
 struct Error {
   ErrorKind Kind = ErrorKind::Internal;
   RunState Run = RunState::Unknown;
@@ -71,9 +71,9 @@
 Error makeError(ErrorKind kind, std::string detail = {},
                 Millis retryAfter = Millis{0});
 
-/// Status of the answer to a caller. 408, 421, 429 and 503 promise that the
-/// request has not run, so an error that may have run never gets them, and one
-/// that has not run never gets 502 or 504.
+/// HTTP status of the answer to a caller. 408, 421, 429 and 503 guarantee that
+/// the request has not run, so they are not used for an error whose request may
+/// have run. If it has not run, 502 and 504 are not used.
 int statusOf(const Error &error);
 
 std::string_view toString(RunState run);
