--- a/src/libhickoryglade/standingboard.cpp
+++ b/src/libhickoryglade/standingboard.cpp
@@ -17,22 +17,23 @@
                     std::tie(entry.Report.BootId, entry.Report.Sequence);
   if (isOld)
     return false;
-  bool isNews =
+  bool isChange =
       isNew ? !report.States.empty() : report.States != entry.Report.States;
   entry = {report, now};
-  return isNews;
+  return isChange;
 }
 
-// Reports without endpoints are kept for the term too: earlier ones may come
-// late.
+// Reports without endpoints are also kept until they expire, since an earlier
+// report may still arrive after them.
 bool expireReports(StandingBoard &board, Instant now) {
-  bool hasNamed = false;
+  bool hasEndpoints = false;
   std::erase_if(board.Entries, [&](const auto &it) {
-    bool isLapsed = now - it.second.ReceivedAt > StandingLifetime;
-    hasNamed = hasNamed || (isLapsed && !it.second.Report.States.empty());
-    return isLapsed;
+    bool isExpired = now - it.second.ReceivedAt > StandingLifetime;
+    hasEndpoints =
+        hasEndpoints || (isExpired && !it.second.Report.States.empty());
+    return isExpired;
   });
-  return hasNamed;
+  return hasEndpoints;
 }
 
 std::optional<Standing> transientStanding(const StandingBoard &board,
