--- a/src/libhickoryglade/routetable.h
+++ b/src/libhickoryglade/routetable.h
@@ -10,7 +10,7 @@
 
 namespace hickoryglade {
 
-/// One service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 struct SplitPart {
   /// Qualified service name.
   std::string Service;
@@ -19,17 +19,17 @@
   bool operator==(const SplitPart &) const = default;
 };
 
-/// Where requests of a host and path prefix go.
+/// Maps requests with a host and path prefix to a service.
 struct Route {
   std::string Path;
   std::string Host;
   std::string Prefix;
-  /// Workspace on whose account the requests run.
+  /// Workspace to which the requests are accounted.
   std::string Workspace;
   /// Qualified service name: "workspace/service".
   std::string Service;
   ServicePolicy Policy;
-  /// Services among which requests are shared out; empty if all go to one.
+  /// Services among which requests are split; empty if all go to Service.
   std::vector<SplitPart> Split;
 
   bool operator==(const Route &) const = default;
@@ -41,7 +41,7 @@
   RouteTable() = default;
   explicit RouteTable(const SettingsTree &tree);
 
-  /// Returns nullptr if no route matches; the host may carry a port.
+  /// Returns nullptr if no route matches. The host may include a port.
   const Route *find(std::string_view host, std::string_view target) const;
 
   std::size_t size() const;
@@ -50,7 +50,7 @@
   std::map<std::string, std::vector<Route>, std::less<>> ByHost;
 };
 
-/// "workspace/service".
+/// Returns "workspace/service".
 std::string qualifiedService(std::string_view workspace,
                              std::string_view service);
 
--- a/src/libhickoryglade/splitter.cpp
+++ b/src/libhickoryglade/splitter.cpp
@@ -5,8 +5,8 @@
 
 namespace hickoryglade {
 
-// Smooth weighted round robin. Each node starts at a place of its own, so that
-// many nodes with few requests each come to the weights together.
+// Smooth weighted round robin. The current weights start at random values, so
+// that the proportions also hold over many nodes with few requests each.
 const std::string &Splitter::choose(const Route &route, Random &rng) {
   if (route.Split.empty())
     return route.Service;
@@ -22,7 +22,7 @@
   }
   for (std::size_t i = 0; i < route.Split.size(); ++i)
     shares.CurrentWeights[i] += route.Split[i].Weight;
-  // A part of no weight gets nothing, whatever place it started from.
+  // A part with weight 0 receives no requests, whatever value it started from.
   auto rank = [&](std::size_t i) {
     return std::pair(route.Split[i].Weight > 0, shares.CurrentWeights[i]);
   };
--- a/src/libhickoryglade/splitter.h
+++ b/src/libhickoryglade/splitter.h
@@ -9,16 +9,16 @@
 
 namespace hickoryglade {
 
-/// Shares the requests of routes out over services in proportion to weights.
+/// Distributes the requests of routes among services in proportion to weights.
 class Splitter {
 public:
-  /// Qualified name of the service that takes the route's next request.
+  /// Returns the qualified name of the service for the route's next request.
   const std::string &choose(const Route &route, Random &rng);
 
 private:
   struct Shares {
     std::vector<SplitPart> Split;
-    /// What each part is owed, in units of the sum of all weights.
+    /// Current weight of each part, as in smooth weighted round robin.
     std::vector<std::int64_t> CurrentWeights;
   };
 
