--- a/src/libhickoryglade/costmodel.h
+++ b/src/libhickoryglade/costmodel.h
@@ -8,7 +8,7 @@
 
 namespace hickoryglade {
 
-/// Class of requests that are expected to take a similar time.
+/// Class of requests with a similar expected run time.
 struct CostClass {
   /// Settings path of the route.
   std::string Route;
@@ -17,15 +17,16 @@
 };
 
 struct CostEstimate {
-  /// Zero as long as nothing is known.
+  /// Zero if no run time of the class is known.
   Micros Expected{0};
   bool IsLong = false;
 
   bool operator==(const CostEstimate &) const = default;
 };
 
-/// Run times that an entry has seen, by route, method and size class, over
-/// all gates. Bounded: the least recently used class goes first.
+/// Moving averages of the run times that an entry has observed over all gates,
+/// by route, method and size class. The number of classes is bounded; the least
+/// recently used class is evicted first.
 class CostModel {
 public:
   explicit CostModel(std::size_t maxClasses = 10'000);
--- a/src/libhickoryglade/hash.h
+++ b/src/libhickoryglade/hash.h
@@ -5,7 +5,7 @@
 
 namespace hickoryglade {
 
-/// Hash that is the same on every node and in every version.
+/// Hash function whose result is the same on all nodes and in all versions.
 std::uint64_t stableHash(std::string_view bytes, std::uint64_t seed = 0);
 
 } // namespace hickoryglade
--- a/src/libhickoryglade/instant.h
+++ b/src/libhickoryglade/instant.h
@@ -7,8 +7,8 @@
 using Millis = std::chrono::milliseconds;
 using Micros = std::chrono::microseconds;
 
-/// Time axis of the kernel. It has no now(): callers hand time in, so that
-/// the same events always give the same decisions.
+/// Clock type of the kernel. It has no now(): callers pass the time, so that
+/// the same events always lead to the same decisions.
 struct KernelClock {
   using rep = Micros::rep;
   using period = Micros::period;
--- a/src/libhickoryglade/registry.h
+++ b/src/libhickoryglade/registry.h
@@ -8,8 +8,8 @@
 
 namespace hickoryglade {
 
-/// Named policies of one kind. A policy is a plain struct of function
-/// pointers; its plug-in registers it during static initialization.
+/// Registry of named policies of one kind. A policy is a plain struct of
+/// function pointers; its plug-in registers it during static initialization.
 template <typename Policy> class Registry {
 public:
   static Registry &instance() {
@@ -38,7 +38,7 @@
   std::map<std::string, Policy, std::less<>> Policies;
 };
 
-/// Declared at namespace scope in a plug-in to register its policy.
+/// Registers a policy. A plug-in defines one at namespace scope.
 template <typename Policy> struct Registrar {
   Registrar(std::string name, Policy policy) {
     Registry<Policy>::instance().add(std::move(name), policy);
