--- a/tests/kernel/test_keys.cpp
+++ b/tests/kernel/test_keys.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a key goes to the first request, and to that one again") {
+TEST_CASE("a key is granted to the first request and to its repeats") {
   KeyTable table;
   table.put("k", running("r1"));
   const KeyEntry &entry = table.put("k", running("r2"));
@@ -45,7 +45,7 @@
   CHECK(evaluateKey(entry, "r1", 2) == KeyVerdict::Reused);
 }
 
-TEST_CASE("what has ended stays ended") {
+TEST_CASE("a record of an ended run does not return to running") {
   KeyTable table;
   table.put("k", running("r1"));
   table.put("k", done("r1", 10));
@@ -55,7 +55,7 @@
   CHECK(table.find("k") != nullptr);
 }
 
-TEST_CASE("a released key may be used again, an expired one is forgotten") {
+TEST_CASE("a released key may be used again, an expired one is removed") {
   KeyTable table;
   table.put("k", running("r1"));
   table.release("k", "r1");
@@ -65,7 +65,7 @@
   CHECK(table.size() == 0);
 }
 
-TEST_CASE("answers are bounded, the fact that the work has run is kept") {
+TEST_CASE("large answers are dropped, but the end of the run stays known") {
   KeyTable table;
   table.put("big", done("r1", KeyTable::MaxAnswerBytes + 1));
   CHECK(evaluateKey(*table.find("big"), "r2", 1) == KeyVerdict::AnswerGone);
@@ -77,7 +77,7 @@
         KeyVerdict::Done);
 }
 
-TEST_CASE("when a keeper goes, the holder of the copy takes its place") {
+TEST_CASE("a removed keeper is replaced by the holder of the second copy") {
   auto all = roster({"a", "b", "c", "d", "e"});
   for (int i = 0; i < 100; ++i) {
     std::string key = "key" + std::to_string(i);
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE("lost records are noticed, handed-on ones are not missed") {
+TEST_CASE("lost records are detected unless their keeper handed them on") {
   auto all = roster({"a", "b", "c", "d"});
   auto ranked = rankKeepers(all, "key");
   auto rest = all;
@@ -110,7 +110,7 @@
   CHECK(more->empty());
 }
 
-TEST_CASE("after two joins a former keeper is asked as well") {
+TEST_CASE("after two joins a former keeper is queried as well") {
   auto all = roster({"a", "b", "c", "d", "e", "f"});
   auto ranked = rankKeepers(all, "key");
   std::vector<LeaseHolder> before(ranked.begin() + 2, ranked.end());
@@ -124,7 +124,7 @@
   CHECK(more->front() == ranked[2]);
 }
 
-TEST_CASE("a keeper that restarted has no memory of before") {
+TEST_CASE("records of a restarted keeper count as lost") {
   auto all = roster({"a", "b"});
   auto restarted = all;
   restarted[0].BootId = 2;
--- a/tests/kernel/test_leases.cpp
+++ b/tests/kernel/test_leases.cpp
@@ -29,7 +29,7 @@
   return events.back().What;
 }
 
-LeaseRecord keeper(const std::string &node, std::int64_t boot) {
+LeaseRecord acquireKeeper(const std::string &node, std::int64_t boot) {
   LeaseRecord record;
   record.Subject = {LeaseKind::Keeper, "", node};
   record.Holder = {node, boot};
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("two judges at once cannot eject below the floor") {
+TEST_CASE("two nodes that eject at the same time cannot go below the floor") {
   LeaseLedger ledger;
   CHECK(fold(ledger, acquire(EndpointA, "n1", {"b", "c", "d"}, 3)) ==
         LeaseEvent::Change::Granted);
@@ -60,7 +60,7 @@
         LeaseEvent::Change::Denied);
 }
 
-TEST_CASE("a holder that pauses and wakes finds its lease over") {
+TEST_CASE("the lease of a paused holder ends a term after its last read") {
   LeaseAgent agent;
   agent.Self = {"n1", 1};
   applyLeaseRecord(agent, 0, encodeLease(acquire(EndpointA, "n1", {"b"}, 1)),
@@ -88,7 +88,7 @@
   CHECK(agent.Ledger.Leases.empty());
 }
 
-TEST_CASE("a renewal voids the challenge and its eviction") {
+TEST_CASE("a renewal cancels a challenge and the eviction based on it") {
   LeaseLedger ledger;
   fold(ledger, acquire(EndpointA, "n1", {"b"}, 1));
   LeaseAgent holder = agentOf("n1", ledger);
@@ -107,10 +107,10 @@
   CHECK(isHeldBy(other.Ledger, EndpointA, {"n1", 1}));
 }
 
-TEST_CASE("a keeper is challenged by its successor alone") {
+TEST_CASE("only its successor challenges a keeper") {
   LeaseLedger ledger;
   for (const char *node : {"k1", "k2", "k3"})
-    fold(ledger, keeper(node, 1));
+    fold(ledger, acquireKeeper(node, 1));
   std::vector<LedgerMember> members{
       {{"k1", 1}, 9, true}, {{"k2", 1}, 9}, {{"k3", 1}, 9}};
   LeaseAgent third = agentOf("k3", ledger);
@@ -119,10 +119,11 @@
   CHECK(dueChallenges(second, members, at(0)).size() == 1);
 }
 
-TEST_CASE("who has promised does not challenge, who challenges not promise") {
+TEST_CASE("a successor does not challenge after a promise or promise after a "
+          "challenge") {
   LeaseLedger ledger;
   for (const char *node : {"k1", "k2"})
-    fold(ledger, keeper(node, 1));
+    fold(ledger, acquireKeeper(node, 1));
   std::vector<LedgerMember> members{{{"k1", 1}, 9, true}, {{"k2", 1}, 9}};
   LeaseAgent second = agentOf("k2", ledger);
   REQUIRE(promise(second, {"k1", 1}, at(0)));
@@ -131,11 +132,10 @@
   CHECK(!promise(second, {"k1", 1}, at(17)));
 }
 
-TEST_CASE("a keeper that joins between two waits until the former successor "
-          "knows") {
+TEST_CASE("a new successor waits until the former one has read its grant") {
   LeaseLedger ledger;
   for (const char *node : {"k1", "k3", "k2"})
-    fold(ledger, keeper(node, 1));
+    fold(ledger, acquireKeeper(node, 1));
   LeaseAgent joined = agentOf("k2", ledger);
   std::vector<LedgerMember> members{
       {{"k1", 1}, 3, true}, {{"k2", 1}, 3}, {{"k3", 1}, 2}};
@@ -144,7 +144,7 @@
   CHECK(dueChallenges(joined, members, at(0)).size() == 1);
 }
 
-TEST_CASE("a holder not heard of yet is not challenged at once") {
+TEST_CASE("a holder unknown to the membership is challenged after a timeout") {
   LeaseLedger ledger;
   fold(ledger, acquire(EndpointA, "unheard", {"b"}, 1));
   LeaseAgent agent = agentOf("n2", ledger);
@@ -155,7 +155,7 @@
   CHECK(dueChallenges(agent, {{{"unheard", 2}, 0}}, at(101)).size() == 1);
 }
 
-TEST_CASE("a late reader learns of a lease by its renewal") {
+TEST_CASE("a renewal shows the lease to a reader that started late") {
   LeaseLedger late;
   late.Next = 10;
   LeaseRecord renewal = acquire(EndpointA, "n1", {}, 0);
@@ -164,7 +164,7 @@
   CHECK(isHeldBy(late, EndpointA, {"n1", 1}));
 }
 
-TEST_CASE("records that do not parse change nothing") {
+TEST_CASE("malformed lease records change nothing") {
   LeaseLedger ledger;
   for (const char *bytes : {"", "{}", "[1]", R"({"action":"acquire"})"})
     CHECK(foldLease(ledger, ledger.Next, bytes).empty());
