--- a/tests/kernel/test_documents.cpp
+++ b/tests/kernel/test_documents.cpp
@@ -43,7 +43,7 @@
   CHECK(serviceAt(state) == "w/a");
 }
 
-TEST_CASE("a peer's tree brings removed routes along") {
+TEST_CASE("merging a peer's tree removes routes that the peer has removed") {
   SettingsState ahead;
   replaceTree(ahead, document(5, "a"));
   SettingsState behind = ahead;
@@ -54,7 +54,7 @@
   CHECK_FALSE(replaceTree(behind, document(6, "a")));
 }
 
-TEST_CASE("a peer that has just started drops what its document has dropped") {
+TEST_CASE("adopting the tree of a new peer removes routes missing from it") {
   SettingsState behind;
   replaceTree(behind, document(4, "a"));
   SettingsState fresh;
@@ -68,19 +68,19 @@
   CHECK(serviceAt(behind) == "w/b");
 }
 
-TEST_CASE("a document with any bad value is refused") {
+TEST_CASE("the check of a document finds an invalid value") {
   SettingsDocument bad = document(1, "a");
   bad.Values["/"]["timeout_ms"] = "long";
   CHECK(checkDocument(bad).size() == 1);
   CHECK(checkDocument(document(1, "a")).empty());
 }
 
-TEST_CASE("requests are shared out by weight") {
+TEST_CASE("requests are split by weight") {
   Route route;
   route.Path = "/w/a/r";
   route.Split = {{"w/a", 90}, {"w/b", 10}, {"w/c", 0}};
   std::map<std::string, int> taken;
-  // Many nodes with few requests each come to the weights together.
+  // The proportions hold over many nodes with few requests each.
   for (std::uint64_t node = 0; node < 200; ++node) {
     Random rng(node);
     Splitter splitter;
@@ -112,7 +112,7 @@
 
 } // namespace
 
-TEST_CASE("messages carry the version of the settings") {
+TEST_CASE("gossip carries the version of the sender's settings") {
   Instant start(milliseconds(0));
   Membership a = makeMembership(record("a"), {}, 1, start);
   Membership b = makeMembership(record("b"), {"a"}, 2, start);
@@ -124,7 +124,7 @@
   CHECK(b.NewestSettings.Addresses == std::vector<std::string>{"a"});
 }
 
-TEST_CASE("found addresses are asked at once") {
+TEST_CASE("added seed addresses are contacted at once") {
   Instant start(milliseconds(0));
   Membership a = makeMembership(record("a"), {}, 1, start);
   tick(a, start);
@@ -136,7 +136,8 @@
       out, [](const OutgoingGossip &it) { return it.Address == "b"; }));
 }
 
-TEST_CASE("a node that starts again is told which endpoints had left") {
+TEST_CASE(
+    "a restarted node receives its earlier records of departed endpoints") {
   Instant start(milliseconds(0));
   MemberRecord first = record("a");
   first.Departed = {{"e", 100}};
@@ -153,9 +154,9 @@
   CHECK(restarted.Members.at("a").Record.BootId == 2);
 }
 
-// The load that this answers: hundreds of nodes start at once, and each would
-// pass on each record that it has been given.
-TEST_CASE("records that come in bulk are not passed on") {
+// Guards against a flood of updates when hundreds of nodes start at once and
+// each one piggybacks every record that it receives.
+TEST_CASE("records received in bulk are not piggybacked") {
   Instant start(milliseconds(0));
   Membership a = makeMembership(record("a"), {}, 1, start);
   receive(a,
@@ -176,7 +177,7 @@
             (update.Record.Node == "a" || update.State != MemberState::Alive));
 }
 
-TEST_CASE("news goes to other data centres seldom, near by more often") {
+TEST_CASE("updates are sent to other data centres at most twice") {
   Instant start(milliseconds(0));
   MemberRecord own = record("a");
   own.DataCentre = "x";
@@ -215,20 +216,20 @@
   CHECK_FALSE(near.empty());
 }
 
-TEST_CASE("news that its subject has broadcast is passed on once") {
+TEST_CASE("an update that its subject has broadcast is piggybacked once") {
   Instant start(milliseconds(0));
   Membership a = makeMembership(record("a"), {}, 1, start);
   for (const char *node : {"b", "c", "d", "e", "f", "g", "h"})
     receive(a,
             {GossipKind::Updates, node, node, 0, {}, {{record(node)}}, {}, 0},
             start);
-  int told = 0;
+  int transmissions = 0;
   for (int ms = 0; ms < 20'000; ms += 50)
     for (const OutgoingGossip &it : tick(a, Instant(milliseconds(ms))))
-      told += int(std::ranges::count_if(
+      transmissions += int(std::ranges::count_if(
           it.Message.Updates, [](const MemberUpdate &update) {
             return update.Record.Node == "b" &&
                    update.State == MemberState::Alive;
           }));
-  CHECK(told == 1);
+  CHECK(transmissions == 1);
 }
--- a/tests/kernel/test_membership.cpp
+++ b/tests/kernel/test_membership.cpp
@@ -12,8 +12,8 @@
 
 constexpr Micros Step = milliseconds(10);
 
-/// Members that exchange datagrams over a faultable network.
-struct Net {
+/// Members that exchange datagrams over a network with injectable faults.
+struct TestNetwork {
   std::map<std::string, Membership> Nodes;
   std::function<bool(const std::string &, const std::string &)> IsCut =
       [](const std::string &, const std::string &) { return false; };
@@ -55,8 +55,8 @@
   }
 };
 
-Net fleetOf(int n) {
-  Net net;
+TestNetwork fleetOf(int n) {
+  TestNetwork net;
   for (int i = 0; i < n; ++i)
     net.add(std::string(1, char('a' + i)));
   net.run(std::chrono::seconds(15));
@@ -65,14 +65,14 @@
 
 } // namespace
 
-TEST_CASE("nodes that know one seed find each other") {
-  Net net = fleetOf(8);
+TEST_CASE("nodes with one common seed discover each other") {
+  TestNetwork net = fleetOf(8);
   for (const auto &[name, node] : net.Nodes)
     CHECK(peers(node).size() == 7);
 }
 
-TEST_CASE("a dead node is noticed, a restarted one is taken back") {
-  Net net = fleetOf(6);
+TEST_CASE("a crashed node becomes dead and is alive again after a restart") {
+  TestNetwork net = fleetOf(6);
   net.Nodes.erase("f");
   net.run(std::chrono::seconds(15));
   CHECK(net.stateOf("b", "f") == MemberState::Dead);
@@ -81,8 +81,8 @@
   CHECK(net.stateOf("b", "f") == MemberState::Alive);
 }
 
-TEST_CASE("a one-way cut between two nodes kills neither") {
-  Net net = fleetOf(6);
+TEST_CASE("a one-way link failure makes neither node dead") {
+  TestNetwork net = fleetOf(6);
   net.IsCut = [](const std::string &from, const std::string &to) {
     return from == "b" && to == "c";
   };
@@ -92,8 +92,8 @@
       CHECK(net.stateOf(at, of) != MemberState::Dead);
 }
 
-TEST_CASE("a change reaches everyone within seconds") {
-  Net net = fleetOf(16);
+TEST_CASE("a change reaches all members within 5 s") {
+  TestNetwork net = fleetOf(16);
   MemberRecord record = net.Nodes.at("c").Members.at("c").Record;
   record.SettingsNext = 42;
   updateSelf(net.Nodes.at("c"), record);
@@ -102,8 +102,8 @@
     CHECK(node.Members.at("c").Record.SettingsNext == 42);
 }
 
-TEST_CASE("a healed partition joins again") {
-  Net net = fleetOf(6);
+TEST_CASE("members find each other again after a network partition") {
+  TestNetwork net = fleetOf(6);
   net.IsCut = [](const std::string &from, const std::string &to) {
     return (from < "d") != (to < "d");
   };
@@ -115,8 +115,8 @@
     CHECK(peers(node).size() == 5);
 }
 
-TEST_CASE("a paused node that wakes is not believed dead for long") {
-  Net net = fleetOf(6);
+TEST_CASE("a node that resumes after a pause becomes alive again") {
+  TestNetwork net = fleetOf(6);
   Membership paused = net.Nodes.at("e");
   net.Nodes.erase("e");
   net.run(std::chrono::seconds(20));
