--- a/tests/kernel/test_nearest.cpp
+++ b/tests/kernel/test_nearest.cpp
@@ -12,31 +12,31 @@
 using namespace hickoryglade;
 using std::chrono::milliseconds;
 
-// The load that these answer: services with some dozen gates in each of six
-// data centres, bytes between which are dear.
+// The router "nearest" is made for services with some dozen gates in each of
+// six data centres, where traffic between data centres is expensive.
 
 namespace {
 
-constexpr int PerPlace = 5;
+constexpr int GatesPerDataCentre = 5;
 
-std::vector<Candidate> sixPlaces() {
+std::vector<Candidate> sixDataCentres() {
   std::vector<Candidate> all;
-  for (int place = 0; place < 6; ++place)
-    for (int i = 0; i < PerPlace; ++i) {
+  for (int dc = 0; dc < 6; ++dc)
+    for (int i = 0; i < GatesPerDataCentre; ++i) {
       Candidate it;
-      it.Node = "n" + std::to_string(place) + std::to_string(i);
-      it.DataCentre = "dc" + std::to_string(place);
+      it.Node = "n" + std::to_string(dc) + std::to_string(i);
+      it.DataCentre = "dc" + std::to_string(dc);
       it.Slots = 4;
       it.FreeSlots = 4;
-      it.IsNear = place == 0;
+      it.IsNear = dc == 0;
       all.push_back(it);
     }
   return all;
 }
 
-void fill(std::vector<Candidate> &all, const std::string &place) {
+void fill(std::vector<Candidate> &all, const std::string &dataCentre) {
   for (Candidate &it : all)
-    if (it.DataCentre == place) {
+    if (it.DataCentre == dataCentre) {
       it.FreeSlots = 0;
       it.Queued = 2;
     }
@@ -50,63 +50,66 @@
                                                                   rng);
 }
 
-std::set<std::string> placesOf(const std::vector<Candidate> &all,
-                               const RoutePlan &it) {
-  std::set<std::string> places;
+std::set<std::string> dataCentresOf(const std::vector<Candidate> &all,
+                                    const RoutePlan &it) {
+  std::set<std::string> dataCentres;
   for (std::size_t i : it.Targets)
-    places.insert(all[i].DataCentre);
-  return places;
+    dataCentres.insert(all[i].DataCentre);
+  return dataCentres;
 }
 
 } // namespace
 
-TEST_CASE("work stays near while there is room, and asks near first") {
+TEST_CASE("requests go to gates in the entry's data centre first") {
   Random rng(1);
-  auto all = sixPlaces();
+  auto all = sixDataCentres();
   RoutePlan direct = plan(all, 0, rng);
   CHECK(direct.OnlyIfFree);
-  CHECK(placesOf(all, direct) == std::set<std::string>{"dc0"});
+  CHECK(dataCentresOf(all, direct) == std::set<std::string>{"dc0"});
   RoutePlan tickets = plan(all, 1, rng);
   CHECK(tickets.AwaitsGrant);
   CHECK(tickets.IsWaitBounded);
   CHECK(tickets.Targets.size() == 4);
-  CHECK(placesOf(all, tickets) == std::set<std::string>{"dc0"});
+  CHECK(dataCentresOf(all, tickets) == std::set<std::string>{"dc0"});
 }
 
-TEST_CASE("work that finds no room near goes to one other data centre") {
+TEST_CASE("without free slots near, a request goes to one other data centre") {
   Random rng(1);
-  auto all = sixPlaces();
+  auto all = sixDataCentres();
   fill(all, "dc0");
   RoutePlan far = plan(all, 2, rng);
   CHECK(far.OnlyIfFree);
-  CHECK(placesOf(all, far).size() == 1);
-  CHECK_FALSE(placesOf(all, far).contains("dc0"));
+  CHECK(dataCentresOf(all, far).size() == 1);
+  CHECK_FALSE(dataCentresOf(all, far).contains("dc0"));
   RoutePlan last = plan(all, 3, rng);
   CHECK(last.AwaitsGrant);
   CHECK_FALSE(last.IsWaitBounded);
-  CHECK(placesOf(all, last).size() == 2);
+  CHECK(dataCentresOf(all, last).size() == 2);
 }
 
-TEST_CASE("what spills goes where there is room and not to one place") {
+TEST_CASE("overflow spreads over the data centres with free slots") {
   Random rng(1);
-  auto all = sixPlaces();
-  for (const char *place : {"dc0", "dc1", "dc2"})
-    fill(all, place);
+  auto all = sixDataCentres();
+  for (const char *dataCentre : {"dc0", "dc1", "dc2"})
+    fill(all, dataCentre);
   std::map<std::string, int> chosen;
   for (int i = 0; i < 1'000; ++i)
-    for (const std::string &place : placesOf(all, plan(all, 2, rng)))
-      ++chosen[place];
-  // Two draws among five places both meet one of the two full ones in 4 of 25.
+    for (const std::string &dataCentre : dataCentresOf(all, plan(all, 2, rng)))
+      ++chosen[dataCentre];
+  // Two draws among five data centres both hit one of the two full ones in 4 of
+  // 25 cases.
   CHECK(chosen["dc1"] + chosen["dc2"] < 220);
-  for (const char *place : {"dc3", "dc4", "dc5"})
-    CHECK(chosen[place] > 200);
+  for (const char *dataCentre : {"dc3", "dc4", "dc5"})
+    CHECK(chosen[dataCentre] > 200);
 }
 
-// The load that this answers: orders that may run only once, turned away by
-// gates whose endpoints have gone silent, while others of the service fail.
-TEST_CASE("work that may run only once goes back before it goes to doubtful") {
+// Guards against requests that may run only once failing at doubtful endpoints.
+// This comes about when gates of unresponsive endpoints refuse them while other
+// endpoints of the service fail.
+TEST_CASE("a request that may run only once prefers a tried gate to a doubtful "
+          "endpoint") {
   Random rng(7);
-  std::vector<Candidate> all = sixPlaces();
+  std::vector<Candidate> all = sixDataCentres();
   all.resize(3);
   all[0].WasTried = true;
   all[1].State = Standing::Suspect;
@@ -121,24 +124,24 @@
   CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{0});
 }
 
-TEST_CASE("a service without gates near is served from elsewhere at once") {
+TEST_CASE("without gates near, requests go to another data centre at once") {
   Random rng(1);
-  auto all = sixPlaces();
+  auto all = sixDataCentres();
   std::erase_if(all, [](const Candidate &it) { return it.IsNear; });
   RoutePlan far = plan(all, 0, rng);
   CHECK(far.Targets.size() == 1);
   CHECK(far.OnlyIfFree);
 }
 
-TEST_CASE("a service in one data centre waits there without a bound") {
+TEST_CASE("with gates in one data centre only, the wait is not bounded") {
   Random rng(1);
-  auto all = sixPlaces();
+  auto all = sixDataCentres();
   std::erase_if(all, [](const Candidate &it) { return !it.IsNear; });
   CHECK_FALSE(plan(all, 1, rng).IsWaitBounded);
   CHECK(plan(all, 5, rng).AwaitsGrant);
 }
 
-TEST_CASE("reports of standings replace older ones and lapse") {
+TEST_CASE("reports of standings replace older ones and expire") {
   StandingBoard board;
   Instant start(milliseconds(0));
   StandingReport first{"n", 7, 1, {{"e", Standing::Suspect}}};
@@ -158,7 +161,7 @@
   CHECK_FALSE(transientStanding(board, "n", 7, "e"));
 }
 
-TEST_CASE("the members of a data centre agree on their ranks") {
+TEST_CASE("members of a data centre have distinct ranks") {
   Instant start(milliseconds(0));
   std::vector<Membership> all;
   for (const char *node : {"a", "b", "c", "far"}) {
@@ -170,8 +173,9 @@
   }
   for (Membership &to : all)
     for (const Membership &from : all) {
-      MemberUpdate news{from.Members.at(from.Self).Record, MemberState::Alive};
-      receive(to, {GossipKind::Updates, from.Self, from.Self, 0, {}, {news}},
+      MemberUpdate update{from.Members.at(from.Self).Record,
+                          MemberState::Alive};
+      receive(to, {GossipKind::Updates, from.Self, from.Self, 0, {}, {update}},
               start);
     }
   std::set<std::size_t> ranks;
--- a/tests/kernel/test_settings.cpp
+++ b/tests/kernel/test_settings.cpp
@@ -35,7 +35,7 @@
   CHECK(floor->From == "/w/s");
 }
 
-TEST_CASE("of two changes on one base the first wins and the other is told") {
+TEST_CASE("of two changes with the same base, the second is a conflict") {
   SettingsState state;
   CHECK(outcome(foldRecord(state, 0, change("a", "/", 0, {{"floor", 1}}))) ==
         ChangeOutcome::Accepted);
@@ -45,7 +45,7 @@
   CHECK(policyAt(state.Tree, "/").Floor == 1);
 }
 
-TEST_CASE("a change appended twice after a lost reply counts once") {
+TEST_CASE("a change appended twice after a lost reply is applied once") {
   SettingsState state;
   std::string record = change("a", "/", 0, {{"floor", 1}});
   foldRecord(state, 0, record);
@@ -56,7 +56,8 @@
   CHECK(policyAt(state.Tree, "/").Floor == 2);
 }
 
-TEST_CASE("wrong values are refused with every fault and change nothing") {
+TEST_CASE(
+    "a change with invalid values reports all faults and is not applied") {
   SettingsState state;
   FoldResult result = foldRecord(
       state, 0,
@@ -67,7 +68,7 @@
   CHECK(state.Tree.Nodes.empty());
 }
 
-TEST_CASE("bytes that are no record are passed over") {
+TEST_CASE("malformed settings records are skipped") {
   SettingsState state;
   for (const char *bytes :
        {"", "{", "[]", "{\"type\":\"change\"}", "\xff\xfe",
@@ -78,7 +79,7 @@
   CHECK(state.Next == 7);
 }
 
-TEST_CASE("a refreshed value keeps its revision and cannot go back") {
+TEST_CASE("a refresh keeps its revision and does not replace a newer value") {
   SettingsState state;
   foldRecord(state, 0, change("a", "/", 0, {{"floor", 1}}));
   auto due = dueRefresh(state, {1, 0});
@@ -91,7 +92,7 @@
   CHECK(revisionOf(state.Tree, "/") == 2);
 }
 
-TEST_CASE("a reader that starts late corrects a change it could not judge") {
+TEST_CASE("a refresh corrects a change that a late reader could not check") {
   SettingsState late;
   skipTo(late, 5);
   foldRecord(late, 5, change("loser", "/", 3, {{"floor", 9}}));
@@ -101,7 +102,7 @@
   CHECK(revisionOf(late.Tree, "/") == 5);
 }
 
-TEST_CASE("a peer's snapshot brings verdicts and never an older value") {
+TEST_CASE("merging a snapshot adds verdicts and keeps newer values") {
   SettingsState peer;
   foldRecord(peer, 0, change("a", "/", 0, {{"floor", 1}}));
   SettingsState state;
@@ -113,7 +114,7 @@
   CHECK(policyAt(state.Tree, "/").Floor == 2);
 }
 
-TEST_CASE("routes match whole path segments, longest first") {
+TEST_CASE("routes match whole path segments, longest prefix first") {
   SettingsState state;
   foldRecord(state, 0, change("1", "/w/s/all", 0, {{"host", "h"}}));
   foldRecord(state, 1,
