--- a/examples/embedding.cpp
+++ b/examples/embedding.cpp
@@ -2,7 +2,7 @@
 
 #include <iostream>
 
-/// Smallest use of the kernel: one gate, one endpoint, one request.
+/// Minimal use of the kernel: one gate, one endpoint, one request.
 
 int main() {
   using namespace hickoryglade;
