--- a/src/libhickoryglade/servicepolicy.h
+++ b/src/libhickoryglade/servicepolicy.h
@@ -47,7 +47,7 @@
   /// Share of a service's slots that long requests may take while short ones
   /// are queued.
   int LongSlotsPercent = 34;
-  /// Expected run time above which a request counts as long.
+  /// Run time above which a request counts as long.
   Millis LongAfter{400};
   /// Time without an answer to a running request from which its endpoint may
   /// become suspect.
@@ -63,7 +63,7 @@
   int FailuresForDoubt = 3;
   /// Consecutive refusals in spite of a free slot after which an endpoint is
   /// doubtful. A refused request has not run and is retried elsewhere at little
-  /// cost, so refusals are tolerated longer than failures.
+  /// cost, so more refusals than failures can be tolerated.
   int ShedsForDoubt = 3;
   /// First and longest time without requests for a doubtful endpoint before its
   /// trial; the time doubles with each relapse.
