--- a/tests/kernel/test_nearest.cpp
+++ b/tests/kernel/test_nearest.cpp
@@ -43,10 +43,10 @@
 }
 
 RoutePlan plan(const std::vector<Candidate> &all, int refusals, Random &rng) {
-  RouteRequest question;
-  question.CapacityRefusals = refusals;
-  question.IsIdempotent = false;
-  return Registry<RouterPolicy>::instance().find("nearest")->Plan(all, question,
+  RouteRequest request;
+  request.CapacityRefusals = refusals;
+  request.IsIdempotent = false;
+  return Registry<RouterPolicy>::instance().find("nearest")->Plan(all, request,
                                                                   rng);
 }
 
@@ -114,14 +114,14 @@
   all[0].WasTried = true;
   all[1].State = Standing::Suspect;
   all[2].State = Standing::Trial;
-  RouteRequest question;
-  question.TrialOdds = 1'000'000;
-  question.IsIdempotent = false;
-  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{0});
-  question.IsIdempotent = true;
-  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{1});
+  RouteRequest request;
+  request.TrialOdds = 1'000'000;
+  request.IsIdempotent = false;
+  CHECK(eligibleCandidates(all, request, rng) == std::vector<std::size_t>{0});
+  request.IsIdempotent = true;
+  CHECK(eligibleCandidates(all, request, rng) == std::vector<std::size_t>{1});
   all[0].WasTried = false;
-  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{0});
+  CHECK(eligibleCandidates(all, request, rng) == std::vector<std::size_t>{0});
 }
 
 TEST_CASE("without gates near, requests go to another data centre at once") {
