--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -222,7 +222,7 @@
                          "answered " + std::to_string(failure->Status));
     }
     const Error &error = std::get<Error>(result);
-    inquiry.RoomRefusals += error.Kind == ErrorKind::SlotTaken;
+    inquiry.CapacityRefusals += error.Kind == ErrorKind::SlotTaken;
     inquiry.DoubtRefusals += error.Kind == ErrorKind::EndpointDoubtful;
     bool hasFailed = error.Kind != ErrorKind::SlotTaken;
     freeTries += isFreeRetry(error.Kind);
@@ -231,7 +231,7 @@
     inquiry.Runs += error.Run == RunState::Unknown;
     if (error.Run == RunState::Unknown && inquiry.Arrivals == 0)
       inquiry.Arrivals = 1;
-    RetryAnswer answer =
+    RetryDecision answer =
         decideRetry({error, inquiry.IsIdempotent, number - freeTries,
                      inquiry.Deadline - now(), inquiry.Cost.Expected,
                      inquiry.Runs, inquiry.Way.Policy.MaxAttempts},
@@ -240,12 +240,12 @@
     logEvent(LogLevel::Warn, "attempt_failed",
              {{"request", inquiry.Id},
               {"attempt", number},
-              {"kind", answerFor(error.Kind).Name},
+              {"kind", errorInfo(error.Kind).Name},
               {"run", toString(error.Run)},
               {"detail", error.Detail},
               {"retry", answer.Verdict == RetryVerdict::Retry},
               {"reason", answer.Reason}});
-    bool mayContinue = freeTries < MostFreeTries && !isTooLateToStart(inquiry);
+    bool mayContinue = freeTries < FreeRetryLimit && !isTooLateToStart(inquiry);
     if (answer.Verdict == RetryVerdict::Retry && mayContinue)
       continue;
     if (isOwedAnotherTry(inquiry, error)) {
@@ -323,14 +323,14 @@
   const auto *router =
       Registry<RouterPolicy>::instance().find(inquiry.Way.Policy.Router);
   Instant until = std::min(now() + CandidatePatience, inquiry.Deadline);
-  RouteQuestion question{inquiry.Cost.IsLong,
-                         inquiry.IsIdempotent,
-                         inquiry.RoomRefusals > 0,
-                         isSerialized,
-                         inquiry.Fingerprint,
-                         inquiry.Way.Policy.TrialOdds,
-                         inquiry.Way.Policy.SpillsToDoubtful,
-                         inquiry.RoomRefusals};
+  RouteRequest question{inquiry.Cost.IsLong,
+                        inquiry.IsIdempotent,
+                        inquiry.CapacityRefusals > 0,
+                        isSerialized,
+                        inquiry.Fingerprint,
+                        inquiry.Way.Policy.TrialOdds,
+                        inquiry.Way.Policy.SpillsToDoubtful,
+                        inquiry.CapacityRefusals};
   while (true) {
     all = candidates(inquiry, now());
     RoutePlan plan = router->Plan(all, question, Rng);
@@ -419,7 +419,7 @@
 
 HttpAnswer Entry::problem(const Error &error, const std::string &id,
                           Micros timeLeft) {
-  const ErrorAnswer &row = answerFor(error.Kind);
+  const ErrorInfo &row = errorInfo(error.Kind);
   Counters.countError(std::string(row.Name));
   HttpAnswer answer;
   answer.Status = statusOf(error);
@@ -428,7 +428,7 @@
                {"kind", row.Name},        {"run", toString(error.Run)},
                {"request_id", id}};
   if (row.IsRetryable && error.Run == RunState::NotRun) {
-    Millis wait = retryAdvice(error.RetryAfter, toMillis(timeLeft), Rng);
+    Millis wait = suggestRetryAfter(error.RetryAfter, toMillis(timeLeft), Rng);
     body["retry_after_ms"] = wait.count();
     answer.Headers.push_back({"Retry-After", formatRetryAfter(Dialect, wait)});
   }
--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -126,7 +126,7 @@
 wire::KeyReply KeyService::replyFor(const KeyEntry &entry,
                                     const wire::KeyRecord &record) const {
   KeyVerdict verdict =
-      judgeKey(entry, record.requestId, std::uint64_t(record.fingerprint));
+      evaluateKey(entry, record.requestId, std::uint64_t(record.fingerprint));
   wire::KeyReply reply = verdictReply(verdict);
   if (verdict == KeyVerdict::Done)
     reply.__set_record(toRecord(record.key, entry));
@@ -183,7 +183,8 @@
       }
       asked.push_back(holder);
     }
-    auto more = Placement.witnesses(request.record.key, asked, lifetime, now());
+    auto more = Placement.formerKeepersToQuery(request.record.key, asked,
+                                               lifetime, now());
     if (!more)
       co_return KeyVerdict::Unvouched;
     if (more->empty())
--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -78,7 +78,7 @@
     backoff = FirstBackoff;
     for (const LogRecord &record : result.Records)
       for (const LeaseEvent &it :
-           takeRecord(Agent, record.Offset, record.Data, now())) {
+           applyLeaseRecord(Agent, record.Offset, record.Data, now())) {
         logEvent(LogLevel::Info, "lease",
                  {{"what", toString(it.What)},
                   {"subject", it.Subject.Name},
@@ -176,7 +176,8 @@
 asio::awaitable<void> LeaseService::seekVoucher() {
   bool isKeeper = isHeldBy(Agent.Ledger, Keeper, Agent.Self);
   bool isFresh = Agent.ReadAt && now() - *Agent.ReadAt < VoucherAfter;
-  bool isVouched = Agent.VouchedAt && now() - *Agent.VouchedAt < VoucherAfter;
+  bool isVouched = Agent.SuccessorPromisedAt &&
+                   now() - *Agent.SuccessorPromisedAt < VoucherAfter;
   std::string successor = keeperSuccessor(Agent.Ledger, Agent.Self.Node);
   if (!isKeeper || isFresh || isVouched || successor.empty())
     co_return;
@@ -184,7 +185,7 @@
   bool isPromised = co_await Handlers.AskVoucher(successor);
   if (!isPromised)
     co_return;
-  noteVoucher(Agent, asked);
+  noteSuccessorPromise(Agent, asked);
   Handlers.OnChange();
 }
 
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -61,7 +61,7 @@
                [this] { followPeers(); },
                [this](const StandingReport &report) {
                  bool wasEmpty = Standings.Entries.empty();
-                 if (takeReport(Standings, report, now()))
+                 if (applyReport(Standings, report, now()))
                    scheduleRebuild();
                  if (wasEmpty)
                    repeatStandings();
@@ -227,7 +227,7 @@
   record.Departed = Departed;
   if (Facts.KeepsStandingsNear)
     for (EndpointRecord &it : record.Endpoints)
-      it.State = isPassing(it.State) ? Standing::Healthy : it.State;
+      it.State = isTransient(it.State) ? Standing::Healthy : it.State;
   // Documents would change the records of all members at once; their version
   // goes along with other messages.
   if (Directory)
@@ -251,13 +251,13 @@
 void Control::reportStandings() {
   std::map<std::string, Standing> states;
   for (const EndpointRecord &it : Endpoints)
-    if (isPassing(it.State))
+    if (isTransient(it.State))
       states[it.Name] = it.State;
   if (states == OwnStandings.States)
     return;
   OwnStandings.States = std::move(states);
   ++OwnStandings.Sequence;
-  takeReport(Standings, OwnStandings, now());
+  applyReport(Standings, OwnStandings, now());
   Members.spreadStandings(OwnStandings);
   repeatStandings();
 }
@@ -265,13 +265,13 @@
 /// Goes on while an endpoint's standing is a passing one, or another node's
 /// report may lapse.
 void Control::repeatStandings() {
-  StandingTimer.expires_after(StandingRepeat);
+  StandingTimer.expires_after(StandingRepeatPeriod);
   StandingTimer.async_wait([this](const error_code &ec) {
     if (ec)
       return;
     if (!OwnStandings.States.empty()) {
       ++OwnStandings.Sequence;
-      takeReport(Standings, OwnStandings, now());
+      applyReport(Standings, OwnStandings, now());
       Members.spreadStandings(OwnStandings);
     }
     if (expireReports(Standings, now()))
@@ -334,7 +334,7 @@
     if (endpoint.State == Standing::Draining)
       continue;
     Standing standing =
-        passingStanding(Standings, record.Node, record.BootId, endpoint.Name)
+        transientStanding(Standings, record.Node, record.BootId, endpoint.Name)
             .value_or(endpoint.State);
     std::vector<GateView> &gates = view.Services[endpoint.Service].Gates;
     auto gate = std::ranges::find(gates, record.Node, &GateView::Node);
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -60,9 +60,9 @@
 
 void MembershipService::describe(const MemberRecord &record, bool isUrgent) {
   std::int64_t before = Kernel.Revision;
-  describeSelf(Kernel, record);
+  updateSelf(Kernel, record);
   if (isUrgent && Kernel.Revision != before)
-    send(spreadNow(Kernel, UrgentFanOut));
+    send(broadcastSelf(Kernel, UrgentFanOut));
   reportChange();
 }
 
@@ -141,15 +141,15 @@
     logEvent(LogLevel::Warn, "gossip_malformed", {{"bytes", n}});
     return;
   }
-  std::int64_t newest = Kernel.Newest.Next;
+  std::int64_t newest = Kernel.NewestSettings.Next;
   bool wasProbing = Kernel.Pending.has_value();
   send(receive(Kernel, *message, now()));
-  if (!Kernel.FormerDeparted.empty() && Handlers.OnDeparted)
-    Handlers.OnDeparted(std::exchange(Kernel.FormerDeparted, {}));
+  if (!Kernel.DepartedBeforeRestart.empty() && Handlers.OnDeparted)
+    Handlers.OnDeparted(std::exchange(Kernel.DepartedBeforeRestart, {}));
   // Spares the wake-up at which the probe would have been late.
   if (wasProbing && !Kernel.Pending)
     scheduleTick();
-  if (Kernel.Newest.Next > newest && Handlers.OnNewerSettings)
+  if (Kernel.NewestSettings.Next > newest && Handlers.OnNewerSettings)
     Handlers.OnNewerSettings();
   takeCrashes(*gossip);
   if (gossip->isSettingsFresh && Handlers.OnFreshSettings)
--- a/src/libhickoryglade/errorkind.cpp
+++ b/src/libhickoryglade/errorkind.cpp
@@ -10,7 +10,7 @@
 constexpr RunState NotRun = RunState::NotRun;
 constexpr RunState Unknown = RunState::Unknown;
 
-constexpr std::array<ErrorAnswer, 27> Answers{{
+constexpr std::array<ErrorInfo, 27> Answers{{
     {ErrorKind::BadRequest, "bad_request", 400, NotRun, false,
      "The request is malformed"},
     {ErrorKind::HeadersTooLarge, "headers_too_large", 431, NotRun, false,
@@ -69,7 +69,7 @@
 
 } // namespace
 
-const ErrorAnswer &answerFor(ErrorKind kind) {
+const ErrorInfo &errorInfo(ErrorKind kind) {
   return Answers[static_cast<std::size_t>(kind)];
 }
 
@@ -80,19 +80,19 @@
 }
 
 Error makeError(ErrorKind kind, std::string detail, Millis retryAfter) {
-  return {kind, answerFor(kind).DefaultRun, std::move(detail), retryAfter};
+  return {kind, errorInfo(kind).DefaultRun, std::move(detail), retryAfter};
 }
 
 int statusOf(const Error &error) {
   constexpr int badGateway = 502;
   constexpr int unavailable = 503;
   constexpr int gatewayTimeout = 504;
-  int status = answerFor(error.Kind).Status;
-  bool isPromise = status == unavailable || status == 408;
-  bool isVague = status == badGateway || status == gatewayTimeout;
-  if (error.Run == RunState::Unknown && isPromise)
+  int status = errorInfo(error.Kind).Status;
+  bool impliesNotRun = status == unavailable || status == 408;
+  bool impliesUnknown = status == badGateway || status == gatewayTimeout;
+  if (error.Run == RunState::Unknown && impliesNotRun)
     return badGateway;
-  if (error.Run == RunState::NotRun && isVague)
+  if (error.Run == RunState::NotRun && impliesUnknown)
     return unavailable;
   return status;
 }
--- a/src/libhickoryglade/keytable.cpp
+++ b/src/libhickoryglade/keytable.cpp
@@ -9,9 +9,9 @@
                                                : 0;
 }
 
-/// An answer that is too large to keep leaves only the fact that it was given.
-KeyEntry bounded(KeyEntry entry) {
-  if (bytesOf(entry) <= KeyTable::MostAnswerBytes)
+/// Of an answer above the size limit, only the fact that it was sent is stored.
+KeyEntry dropLargeAnswer(KeyEntry entry) {
+  if (bytesOf(entry) <= KeyTable::MaxAnswerBytes)
     return entry;
   entry.Answer = nullptr;
   entry.State = KeyState::AnswerGone;
@@ -26,7 +26,7 @@
 }
 
 const KeyEntry &KeyTable::put(const std::string &key, KeyEntry entry) {
-  entry = bounded(std::move(entry));
+  entry = dropLargeAnswer(std::move(entry));
   auto [it, isNew] = Entries.try_emplace(key, entry);
   KeyEntry &own = it->second;
   bool isOwnEnded = own.State != KeyState::Running;
@@ -59,9 +59,10 @@
   }
 }
 
-/// Drops the answers that expire first; that the work has run stays known.
+/// Drops the answers that expire first. The entries themselves stay, so that it
+/// remains known that the work has run.
 void KeyTable::shrink() {
-  for (auto it = ByExpiry.begin(); it != ByExpiry.end() && Bytes > MostBytes;
+  for (auto it = ByExpiry.begin(); it != ByExpiry.end() && Bytes > MaxBytes;
        ++it) {
     auto entry = Entries.find(it->second);
     if (entry == Entries.end() || !entry->second.Answer)
@@ -72,8 +73,8 @@
   }
 }
 
-KeyVerdict judgeKey(const KeyEntry &entry, const std::string &requestId,
-                    std::uint64_t fingerprint) {
+KeyVerdict evaluateKey(const KeyEntry &entry, const std::string &requestId,
+                       std::uint64_t fingerprint) {
   if (entry.Fingerprint != fingerprint)
     return KeyVerdict::Reused;
   switch (entry.State) {
--- a/src/libhickoryglade/leasepolicy.cpp
+++ b/src/libhickoryglade/leasepolicy.cpp
@@ -36,13 +36,14 @@
             const LeaseHolder &holder, Instant now) {
   const LedgerMember *member = findMember(members, holder.Node);
   if (!member)
-    return now - agent.StartedAt > UnknownTerm;
+    return now - agent.StartedAt > UnknownHolderTimeout;
   return member->Holder.BootId > holder.BootId ||
          (member->IsDead && member->Holder == holder);
 }
 
-/// A keeper that joined between another and its successor takes over the
-/// successor's part only once that one knows, for it may have promised.
+/// A keeper that joins between another keeper and its successor becomes the
+/// successor only once the former successor has read its grant, since that one
+/// may have promised not to challenge.
 bool hasTakenOver(const LeaseAgent &agent, const std::string &keeper,
                   const std::vector<LedgerMember> &members) {
   LeaseSubject own{LeaseKind::Keeper, "", agent.Self.Node};
@@ -56,18 +57,18 @@
   return former.empty() || (member && member->LedgerNext > it->second.Since);
 }
 
-/// Only a keeper's successor acts against it; against the holder of an
-/// ejection anyone may, and the first record counts.
-bool isOurTask(const LeaseAgent &agent, const LeaseSubject &subject,
-               const std::vector<LedgerMember> &members) {
+/// Only its successor may challenge a keeper. Any node may challenge the holder
+/// of an ejection; the first record counts.
+bool isResponsible(const LeaseAgent &agent, const LeaseSubject &subject,
+                   const std::vector<LedgerMember> &members) {
   return subject.Kind != LeaseKind::Keeper ||
          (keeperSuccessor(agent.Ledger, subject.Name) == agent.Self.Node &&
           hasTakenOver(agent, subject.Name, members));
 }
 
-std::optional<LeaseRecord> actAgainst(const LeaseAgent &agent,
-                                      const LeaseSubject &subject,
-                                      const Lease &lease, Instant now) {
+std::optional<LeaseRecord> challengeOrEvict(const LeaseAgent &agent,
+                                            const LeaseSubject &subject,
+                                            const Lease &lease, Instant now) {
   if (isPromised(agent, subject, now))
     return std::nullopt;
   if (!lease.ChallengedAt)
@@ -83,21 +84,23 @@
 
 } // namespace
 
-void noteRead(LeaseAgent &agent, Instant beganAt) { agent.ReadAt = beganAt; }
+void noteRead(LeaseAgent &agent, Instant startedAt) {
+  agent.ReadAt = startedAt;
+}
 
-void noteVoucher(LeaseAgent &agent, Instant askedAt) {
-  agent.VouchedAt = askedAt;
+void noteSuccessorPromise(LeaseAgent &agent, Instant requestedAt) {
+  agent.SuccessorPromisedAt = requestedAt;
 }
 
-std::vector<LeaseEvent> takeRecord(LeaseAgent &agent, std::int64_t offset,
-                                   const std::string &data, Instant now) {
+std::vector<LeaseEvent> applyLeaseRecord(LeaseAgent &agent, std::int64_t offset,
+                                         const std::string &data, Instant now) {
   std::vector<LeaseEvent> events = foldLease(agent.Ledger, offset, data);
   for (const LeaseEvent &it : events) {
     if (it.What == LeaseEvent::Change::Challenged)
       agent.Challenges[it.Subject] = now;
     else
       agent.Challenges.erase(it.Subject);
-    agent.Written.erase(it.Subject);
+    agent.UnreadRecords.erase(it.Subject);
     if (it.What == LeaseEvent::Change::Granted)
       agent.RenewedAt[it.Subject] = now;
   }
@@ -109,8 +112,9 @@
   if (!isHeldBy(agent.Ledger, subject, agent.Self))
     return std::nullopt;
   std::optional<Instant> from = agent.ReadAt;
-  if (subject.Kind == LeaseKind::Keeper && agent.VouchedAt)
-    from = std::max(from.value_or(*agent.VouchedAt), *agent.VouchedAt);
+  if (subject.Kind == LeaseKind::Keeper && agent.SuccessorPromisedAt)
+    from = std::max(from.value_or(*agent.SuccessorPromisedAt),
+                    *agent.SuccessorPromisedAt);
   if (!from)
     return std::nullopt;
   return *from + LeaseTerm;
@@ -135,14 +139,14 @@
                                        Instant now) {
   std::vector<LeaseRecord> due;
   for (const auto &[subject, lease] : agent.Ledger.Leases) {
-    auto written = agent.Written.find(subject);
-    bool isUnread =
-        written != agent.Written.end() && now - written->second < LeaseTerm;
+    auto written = agent.UnreadRecords.find(subject);
+    bool isUnread = written != agent.UnreadRecords.end() &&
+                    now - written->second < LeaseTerm;
     if (!isGone(agent, members, lease.Holder, now) || isUnread ||
-        !isOurTask(agent, subject, members))
+        !isResponsible(agent, subject, members))
       continue;
-    if (auto record = actAgainst(agent, subject, lease, now)) {
-      agent.Written[subject] = now;
+    if (auto record = challengeOrEvict(agent, subject, lease, now)) {
+      agent.UnreadRecords[subject] = now;
       due.push_back(std::move(*record));
     }
   }
@@ -153,8 +157,8 @@
   LeaseSubject subject{LeaseKind::Keeper, "", keeper.Node};
   bool isSuccessor =
       keeperSuccessor(agent.Ledger, keeper.Node) == agent.Self.Node;
-  auto written = agent.Written.find(subject);
-  bool hasActed = written != agent.Written.end() &&
+  auto written = agent.UnreadRecords.find(subject);
+  bool hasActed = written != agent.UnreadRecords.end() &&
                   now - written->second < 2 * ChallengeTerm;
   if (!isSuccessor || hasActed || !isHeldBy(agent.Ledger, subject, keeper) ||
       agent.Ledger.Leases.at(subject).ChallengedAt)
--- a/src/libhickoryglade/membership.cpp
+++ b/src/libhickoryglade/membership.cpp
@@ -10,44 +10,46 @@
 
 namespace {
 
-/// The usual period of SWIM; links in use notice losses sooner by themselves.
+/// The customary period of SWIM. Links in use detect failures sooner by
+/// themselves.
 constexpr Micros ProbePeriod = std::chrono::seconds(1);
 constexpr Micros DirectTimeout = std::chrono::milliseconds(200);
 constexpr Micros ProbeTimeout = std::chrono::milliseconds(450);
-constexpr Micros SuspicionTerm = std::chrono::seconds(3);
+constexpr Micros SuspicionTimeout = std::chrono::seconds(3);
 constexpr Micros SyncPeriod = std::chrono::seconds(5);
 
-/// A node that has just started compares with several others, and often.
-constexpr Micros JoinTerm = std::chrono::seconds(2);
+/// A node that has just started synchronises more often, and with several
+/// members at a time.
+constexpr Micros JoinPeriod = std::chrono::seconds(2);
 constexpr Micros JoinSyncPeriod = std::chrono::milliseconds(300);
 constexpr std::size_t JoinSyncs = 2;
 
-/// One comparison in this many may be with another data centre.
+/// One synchronisation in this many may be with another data centre.
 constexpr std::uint64_t FarSyncOdds = 4;
 
-/// Dead members are remembered this long, so that old news of them does not
-/// bring them back.
-constexpr Micros DeadMemory = std::chrono::hours(1);
+/// Dead members are kept for this long, so that outdated updates do not
+/// resurrect them.
+constexpr Micros DeadRetention = std::chrono::hours(1);
 
 constexpr std::size_t IndirectProbes = 3;
 
-/// Each belief is passed on this many times the logarithm of the members;
-/// anti-entropy finds what that misses.
+/// Each update is piggybacked this many times the logarithm of the number of
+/// members. Anti-entropy repairs what that misses.
 constexpr int TransmissionFactor = 1;
 
-/// Times that news is passed on to members of other data centres, where those
-/// who hear of it pass it on among themselves.
+/// Limit of transmissions for messages to other data centres, where the
+/// receivers spread an update among themselves.
 constexpr int FarTransmissions = 2;
 
-/// News that its subject has told many members itself is passed on only this
-/// often by each.
-constexpr int DirectTransmissions = 1;
+/// Limit of transmissions for an update that its subject has already broadcast.
+constexpr int BroadcastTransmissions = 1;
 
-/// More than any news is passed on.
-constexpr int Settled = 1'000;
+/// A transmission count above any limit.
+constexpr int FullyTransmitted = 1'000;
 
-/// Bounds a datagram; a record weighs its endpoints and itself.
-constexpr std::size_t MostWeight = 40;
+/// Bounds the size of a datagram. A record weighs more the more endpoints it
+/// lists.
+constexpr std::size_t MaxWeight = 40;
 
 std::size_t weightOf(const MemberUpdate &update) {
   return 2 + update.Record.Endpoints.size();
@@ -57,7 +59,7 @@
   return stableHash(node) % SyncBuckets;
 }
 
-int mostTransmissions(const Membership &state) {
+int maxTransmissions(const Membership &state) {
   return TransmissionFactor * int(std::bit_width(state.Members.size() + 1));
 }
 
@@ -73,16 +75,16 @@
          it->second.Record.DataCentre == self(state).DataCentre;
 }
 
-/// The beliefs that have been passed on least, within a datagram's bounds.
+/// The updates with the fewest transmissions that fit into one datagram.
 std::vector<MemberUpdate> freshUpdates(Membership &state,
                                        const std::string &address) {
-  int most = mostTransmissions(state);
+  int most = maxTransmissions(state);
   if (!isNear(state, address))
     most = std::min(most, FarTransmissions);
   std::vector<Member *> fresh;
   for (auto &[node, member] : state.Members)
     if (member.Transmissions <
-        (member.IsWidelyTold ? DirectTransmissions : most))
+        (member.IsBroadcast ? BroadcastTransmissions : most))
       fresh.push_back(&member);
   std::ranges::stable_sort(fresh, {}, &Member::Transmissions);
   std::vector<MemberUpdate> updates;
@@ -90,7 +92,7 @@
   for (Member *member : fresh) {
     MemberUpdate update{member->Record, member->State};
     weight += weightOf(update);
-    if (weight > MostWeight && !updates.empty())
+    if (weight > MaxWeight && !updates.empty())
       break;
     ++member->Transmissions;
     updates.push_back(std::move(update));
@@ -112,7 +114,7 @@
            state.SettingsNext}};
 }
 
-/// Splits beliefs over as many datagrams as they need.
+/// Splits updates over as many datagrams as necessary.
 void sendAll(const Membership &state, const std::string &address,
              const std::vector<MemberUpdate> &updates,
              std::vector<OutgoingGossip> &out) {
@@ -122,7 +124,7 @@
   std::size_t weight = 0;
   for (const MemberUpdate &update : updates) {
     weight += weightOf(update);
-    if (weight > MostWeight && !message.Updates.empty()) {
+    if (weight > MaxWeight && !message.Updates.empty()) {
       out.push_back({address, message});
       message.Updates.clear();
       weight = weightOf(update);
@@ -138,16 +140,17 @@
   member.State = next;
   member.StateSince = now;
   member.Transmissions = 0;
-  member.IsWidelyTold = false;
+  member.IsBroadcast = false;
   ++state.Revision;
 }
 
-/// News that this node is suspect or dead is refuted by a newer version.
+/// Refutes an update that reports this node as suspect or dead, by raising the
+/// version of the own record.
 void refute(Membership &state, const MemberUpdate &update) {
   Member &own = state.Members.at(state.Self);
   if (update.Record.BootId < own.Record.BootId)
     std::ranges::copy(update.Record.Departed,
-                      std::back_inserter(state.FormerDeparted));
+                      std::back_inserter(state.DepartedBeforeRestart));
   bool isAboutThisBoot = update.Record.BootId == own.Record.BootId;
   if (!isAboutThisBoot || update.Record.Version < own.Record.Version)
     return;
@@ -158,8 +161,8 @@
   own.Transmissions = 0;
 }
 
-/// Takes over a belief. What comes in bulk has been told to others before and
-/// need not be passed on.
+/// Applies an update if it is newer. Updates that arrive in bulk have been sent
+/// to other members before and are not piggybacked again.
 void merge(Membership &state, const MemberUpdate &update, bool isBulk,
            Instant now) {
   const std::string &node = update.Record.Node;
@@ -174,7 +177,7 @@
   bool isLater = isNew || isNewer(update.Record, member.Record);
   bool isSame = !isLater && !isNewer(member.Record, update.Record);
   if (!isLater && !(isSame && update.State > member.State)) {
-    // Whoever hears what it knows need not tell it to as many.
+    // A known update has already spread, so it needs fewer transmissions.
     if (isSame && update.State == member.State)
       ++member.Transmissions;
     return;
@@ -183,12 +186,13 @@
     member.Record = update.Record;
   setState(state, member, update.State, now);
   if (isBulk)
-    member.Transmissions = Settled;
+    member.Transmissions = FullyTransmitted;
 }
 
-/// A node that has started again is told which endpoints it knew to have left.
-void remindOfDeparted(const Membership &state, const GossipMessage &message,
-                      std::vector<OutgoingGossip> &out) {
+/// Sends a restarted node the record of its earlier process, which lists the
+/// endpoints that had left.
+void sendDeparted(const Membership &state, const GossipMessage &message,
+                  std::vector<OutgoingGossip> &out) {
   auto member = state.Members.find(message.Sender);
   if (member == state.Members.end() || message.Sender == state.Self ||
       member->second.Record.Departed.empty())
@@ -202,15 +206,16 @@
     sendAll(state, message.SenderAddress, {{known, MemberState::Alive}}, out);
 }
 
-/// A node tells all members of its own changes at once.
-void noteDirectNews(Membership &state, const GossipMessage &message) {
+/// A node sends changes of its own record to many members at once, as the only
+/// update of a message.
+void noteBroadcast(Membership &state, const GossipMessage &message) {
   auto member = state.Members.find(message.Sender);
   bool isDirect = message.Kind == GossipKind::Updates &&
                   message.Updates.size() == 1 &&
                   message.Updates.front().Record.Node == message.Sender;
   if (!isDirect || member == state.Members.end())
     return;
-  member->second.IsWidelyTold = true;
+  member->second.IsBroadcast = true;
 }
 
 std::vector<std::string> probeTargets(const Membership &state) {
@@ -253,18 +258,18 @@
 
 void probeIndirectly(Membership &state, std::vector<OutgoingGossip> &out) {
   state.Pending->IsIndirect = true;
-  std::vector<std::string> helpers = probeTargets(state);
-  std::erase(helpers, state.Pending->Target);
-  std::ranges::shuffle(helpers, state.Rng);
-  helpers.resize(std::min(helpers.size(), IndirectProbes));
-  for (const std::string &helper : helpers)
+  std::vector<std::string> relays = probeTargets(state);
+  std::erase(relays, state.Pending->Target);
+  std::ranges::shuffle(relays, state.Rng);
+  relays.resize(std::min(relays.size(), IndirectProbes));
+  for (const std::string &relay : relays)
     out.push_back(compose(state, GossipKind::PingRequest,
-                          state.Members.at(helper).Record.FleetAddress,
+                          state.Members.at(relay).Record.FleetAddress,
                           state.Pending->Sequence, state.Pending->Target));
 }
 
-void followProbe(Membership &state, Instant now,
-                 std::vector<OutgoingGossip> &out) {
+void checkPendingProbe(Membership &state, Instant now,
+                       std::vector<OutgoingGossip> &out) {
   if (!state.Pending)
     return;
   Micros age = now - state.Pending->SentAt;
@@ -278,14 +283,14 @@
   state.Pending.reset();
 }
 
-void expireBeliefs(Membership &state, Instant now) {
+void expireStates(Membership &state, Instant now) {
   for (auto &[node, member] : state.Members)
     if (member.State == MemberState::Suspect &&
-        now - member.StateSince >= SuspicionTerm)
+        now - member.StateSince >= SuspicionTimeout)
       setState(state, member, MemberState::Dead, now);
   std::erase_if(state.Members, [&](const auto &it) {
     return it.second.State == MemberState::Dead &&
-           now - it.second.StateSince > DeadMemory;
+           now - it.second.StateSince > DeadRetention;
   });
   std::erase_if(state.Relays, [&](const auto &it) { return it.Expiry <= now; });
 }
@@ -297,9 +302,10 @@
   return all;
 }
 
-/// Seeds and members that seem dead are asked too, so that parts of a fleet
-/// that were cut off or started apart find each other.
-std::vector<std::string> strangerAddresses(const Membership &state) {
+/// Addresses of dead members and of seeds that are no known members. Contacting
+/// them lets parts of a fleet find each other after a network partition or a
+/// separate start.
+std::vector<std::string> rejoinAddresses(const Membership &state) {
   std::vector<std::string> all;
   for (const auto &[node, member] : state.Members)
     if (member.State == MemberState::Dead && !member.Record.IsLeaving)
@@ -317,7 +323,7 @@
   std::ranges::shuffle(addresses, state.Rng);
   addresses.resize(std::min(addresses.size(), most));
   for (const std::string &address : addresses) {
-    // No news besides: it would count as passed on.
+    // The message piggybacks no updates, as they would count as transmitted.
     out.push_back({address,
                    {GossipKind::Sync,
                     state.Self,
@@ -330,8 +336,8 @@
   }
 }
 
-/// Members near by mostly, as differences between data centres are few and
-/// found by any pair of their members.
+/// Mostly addresses in the own data centre: differences between data centres
+/// are few, and any pair of their members finds them.
 std::vector<std::string> syncAddresses(Membership &state, bool isJoining) {
   std::vector<std::string> near;
   for (const Member *peer : nearPeers(state))
@@ -343,11 +349,11 @@
 void startSync(Membership &state, Instant now,
                std::vector<OutgoingGossip> &out) {
   bool isJoining =
-      state.Members.size() <= 1 || now - state.StartedAt < JoinTerm;
+      state.Members.size() <= 1 || now - state.StartedAt < JoinPeriod;
   state.NextSync = now + (isJoining ? JoinSyncPeriod : SyncPeriod);
   std::size_t most = isJoining ? JoinSyncs : 1;
   sendSyncs(state, syncAddresses(state, isJoining), most, out);
-  sendSyncs(state, strangerAddresses(state), most, out);
+  sendSyncs(state, rejoinAddresses(state), most, out);
 }
 
 /// Sends the records in the buckets that differ.
@@ -363,17 +369,17 @@
   sendAll(state, message.SenderAddress, updates, out);
 }
 
-/// Holders that are remembered of the latest settings: enough to share out
-/// those who ask.
-constexpr std::size_t MostHolders = 8;
+/// Number of addresses kept of nodes with the latest settings, enough to
+/// distribute the load of fetching them.
+constexpr std::size_t MaxHolders = 8;
 
 void noteHolder(Membership &state, const GossipMessage &message) {
-  Membership::SettingsHolders &newest = state.Newest;
+  Membership::SettingsHolders &newest = state.NewestSettings;
   if (message.SettingsNext > newest.Next)
     newest = {{}, message.SettingsNext};
   bool isHolder =
       message.SettingsNext > 0 && message.SettingsNext == newest.Next;
-  if (isHolder && newest.Addresses.size() < MostHolders &&
+  if (isHolder && newest.Addresses.size() < MaxHolders &&
       std::ranges::find(newest.Addresses, message.SenderAddress) ==
           newest.Addresses.end())
     newest.Addresses.push_back(message.SenderAddress);
@@ -390,15 +396,15 @@
   state.Relays.erase(it);
 }
 
-/// A suspicion ends only by the suspect's own newer version, which the probe
-/// has asked it for.
-void takeAck(Membership &state, const GossipMessage &message) {
+/// Ends the pending probe only. A suspicion ends when the suspect sends a newer
+/// version of its record, which the probe has caused it to do.
+void handleAck(Membership &state, const GossipMessage &message) {
   if (state.Pending && state.Pending->Sequence == message.Sequence)
     state.Pending.reset();
 }
 
-void probeForOther(Membership &state, const GossipMessage &message, Instant now,
-                   std::vector<OutgoingGossip> &out) {
+void handlePingRequest(Membership &state, const GossipMessage &message,
+                       Instant now, std::vector<OutgoingGossip> &out) {
   auto it = state.Members.find(message.Target);
   if (it == state.Members.end())
     return;
@@ -440,11 +446,11 @@
   due = std::min(due, state.NextSync);
   for (const auto &[node, member] : state.Members)
     if (member.State == MemberState::Suspect)
-      due = std::min(due, member.StateSince + SuspicionTerm);
+      due = std::min(due, member.StateSince + SuspicionTimeout);
   return due;
 }
 
-void describeSelf(Membership &state, MemberRecord record) {
+void updateSelf(Membership &state, MemberRecord record) {
   Member &own = state.Members.at(state.Self);
   record.Version = own.Record.Version;
   if (record == own.Record)
@@ -457,8 +463,8 @@
 
 std::vector<OutgoingGossip> tick(Membership &state, Instant now) {
   std::vector<OutgoingGossip> out;
-  followProbe(state, now, out);
-  expireBeliefs(state, now);
+  checkPendingProbe(state, now, out);
+  expireStates(state, now);
   if (now >= state.NextProbe && !state.Pending)
     startProbe(state, now, out);
   if (now >= state.NextSync)
@@ -469,12 +475,12 @@
 std::vector<OutgoingGossip> receive(Membership &state,
                                     const GossipMessage &message, Instant now) {
   std::vector<OutgoingGossip> out;
-  remindOfDeparted(state, message, out);
+  sendDeparted(state, message, out);
   bool isBulk =
       message.Kind == GossipKind::Updates && message.Updates.size() > 1;
   for (const MemberUpdate &update : message.Updates)
     merge(state, update, isBulk, now);
-  noteDirectNews(state, message);
+  noteBroadcast(state, message);
   noteHolder(state, message);
   switch (message.Kind) {
   case GossipKind::Ping:
@@ -483,10 +489,10 @@
     break;
   case GossipKind::Ack:
     relayAck(state, message, out);
-    takeAck(state, message);
+    handleAck(state, message);
     break;
   case GossipKind::PingRequest:
-    probeForOther(state, message, now, out);
+    handlePingRequest(state, message, now, out);
     break;
   case GossipKind::Sync:
     answerSync(state, message, out);
@@ -497,7 +503,8 @@
   return out;
 }
 
-std::vector<OutgoingGossip> spreadNow(Membership &state, std::size_t fanOut) {
+std::vector<OutgoingGossip> broadcastSelf(Membership &state,
+                                          std::size_t fanOut) {
   std::vector<const Member *> targets = peers(state);
   std::ranges::shuffle(targets, state.Rng);
   targets.resize(std::min(targets.size(), fanOut));
--- a/src/libhickoryglade/settingslog.cpp
+++ b/src/libhickoryglade/settingslog.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t MaxVerdicts = 4'096;
 
-void remember(SettingsState &state, const ChangeVerdict &verdict) {
+void recordVerdict(SettingsState &state, const ChangeVerdict &verdict) {
   if (state.VerdictOrder.size() >= MaxVerdicts) {
     state.Verdicts.erase(state.VerdictOrder.front());
     state.VerdictOrder.erase(state.VerdictOrder.begin());
@@ -51,10 +51,11 @@
                          record["as_of"], atMs(record)};
 }
 
-/// Revisions start at 1 so that 0 means "never set": offset + 1.
+/// A revision is the record's offset + 1, so that 0 means "never set".
 std::int64_t revisionAt(std::int64_t offset) { return offset + 1; }
 
-ChangeVerdict judge(const SettingsState &state, const SettingsChange &change) {
+ChangeVerdict evaluateChange(const SettingsState &state,
+                             const SettingsChange &change) {
   ChangeVerdict verdict{change.Id,
                         change.Path,
                         ChangeOutcome::Accepted,
@@ -83,7 +84,7 @@
     result.Verdict = it->second;
     return result;
   }
-  ChangeVerdict verdict = judge(state, change);
+  ChangeVerdict verdict = evaluateChange(state, change);
   if (verdict.Outcome == ChangeOutcome::Accepted) {
     bool isUncertain = state.StartedLate && verdict.Revision == 0;
     verdict.Revision = revisionAt(offset);
@@ -93,13 +94,13 @@
       state.Provisional[change.Path] = offset;
     result.IsTreeChanged = true;
   }
-  remember(state, verdict);
+  recordVerdict(state, verdict);
   result.Verdict = verdict;
   return result;
 }
 
-/// A refresh written after a provisional change tells whether that change
-/// was accepted by those who knew its base.
+/// A refresh written after a provisional change shows whether readers that
+/// knew its base have accepted it.
 bool overridesProvisional(const SettingsState &state,
                           const SettingsRefresh &refresh) {
   auto it = state.Provisional.find(refresh.Path);
@@ -184,23 +185,24 @@
     state.Tree.Nodes[path] = node;
     auto place = peer.LastWritten.find(path);
     state.LastWritten[path] = place == peer.LastWritten.end()
-                                  ? RecordPlace{node.Revision - 1, 0}
+                                  ? RecordPosition{node.Revision - 1, 0}
                                   : place->second;
     state.Provisional.erase(path);
     isChanged = true;
   }
   for (const std::string &id : peer.VerdictOrder)
     if (!state.Verdicts.contains(id))
-      remember(state, peer.Verdicts.at(id));
+      recordVerdict(state, peer.Verdicts.at(id));
   state.Next = std::max(state.Next, peer.Next);
   return isChanged;
 }
 
-bool takeSnapshot(SettingsState &state, const SettingsState &peer) {
+bool adoptSnapshot(SettingsState &state, const SettingsState &peer) {
   if (peer.Next <= state.Next)
     return false;
   state.Next = peer.Next;
-  // A peer that has started since knows nothing of values dropped before.
+  // A peer that started after a node was removed does not list it at all, so
+  // nodes missing from its tree are removed here too.
   for (auto &[path, node] : state.Tree.Nodes)
     if (!node.Value.is_null() && !peer.Tree.Nodes.contains(path))
       node = {nullptr, peer.Next - 1};
@@ -240,7 +242,7 @@
 }
 
 std::optional<SettingsRefresh> dueRefresh(const SettingsState &state,
-                                          const RecordPlace &oldestSafe) {
+                                          const RecordPosition &oldestSafe) {
   auto isDue = [&](const auto &it) {
     return it.second.Offset < oldestSafe.Offset ||
            it.second.AtMs < oldestSafe.AtMs;
--- a/src/libhickoryglade/settingsschema.cpp
+++ b/src/libhickoryglade/settingsschema.cpp
@@ -45,7 +45,7 @@
 struct WorkspaceRule {};
 struct QuarantineReleaseRule {};
 
-/// A key of the schema and the highest level at which it may stand.
+/// A key of the schema and the highest level at which it is allowed.
 struct KeyRule {
   std::string_view Key;
   SettingsLevel From;
@@ -56,7 +56,7 @@
 };
 
 constexpr std::int64_t DayMs = 86'400'000;
-constexpr std::int64_t MostWeight = 1'000'000;
+constexpr std::int64_t MaxWeight = 1'000'000;
 
 const std::vector<KeyRule> &schema() {
   using P = ServicePolicy;
@@ -136,8 +136,9 @@
        IntegerRule{1, DayMs,
                    [](P &p, std::int64_t v) { p.MostRest = Millis(v); }}},
       {"trial_patience_ms", SettingsLevel::Fleet,
-       IntegerRule{1, DayMs,
-                   [](P &p, std::int64_t v) { p.TrialPatience = Millis(v); }}},
+       IntegerRule{
+           1, DayMs,
+           [](P &p, std::int64_t v) { p.TrialIdleTimeout = Millis(v); }}},
       {"trial_odds", SettingsLevel::Fleet,
        IntegerRule{1, 1'000,
                    [](P &p, std::int64_t v) { p.TrialOdds = int(v); }}},
@@ -236,10 +237,11 @@
 
 bool isWeight(const json &value) {
   return value.is_number_integer() && value.get<std::int64_t>() >= 0 &&
-         value.get<std::int64_t>() <= MostWeight;
+         value.get<std::int64_t>() <= MaxWeight;
 }
 
-/// A split names services of the route's workspace; some weight counts.
+/// A split maps services of the route's workspace to weights, at least one of
+/// which is above 0.
 std::string fault(const SplitRule &, const json &value) {
   bool isWellFormed = value.is_object() && !value.empty();
   std::int64_t sum = 0;
--- a/src/libhickoryglade/splitter.cpp
+++ b/src/libhickoryglade/splitter.cpp
@@ -5,8 +5,8 @@
 
 namespace hickoryglade {
 
-// Smooth weighted round robin. Each node starts at a place of its own, so that
-// many nodes with few requests each come to the weights together.
+// Smooth weighted round robin. The current weights start at random values, so
+// that the proportions also hold over many nodes with few requests each.
 const std::string &Splitter::choose(const Route &route, Random &rng) {
   if (route.Split.empty())
     return route.Service;
@@ -17,19 +17,20 @@
   if (shares.Split != route.Split) {
     shares = {route.Split, {}};
     for (std::size_t i = 0; i < route.Split.size(); ++i)
-      shares.Owed.push_back(std::int64_t(uniform(rng, std::uint64_t(sum) + 1)));
+      shares.CurrentWeights.push_back(
+          std::int64_t(uniform(rng, std::uint64_t(sum) + 1)));
   }
   for (std::size_t i = 0; i < route.Split.size(); ++i)
-    shares.Owed[i] += route.Split[i].Weight;
-  // A part of no weight gets nothing, whatever place it started from.
+    shares.CurrentWeights[i] += route.Split[i].Weight;
+  // A part with weight 0 receives no requests, whatever value it started from.
   auto rank = [&](std::size_t i) {
-    return std::pair(route.Split[i].Weight > 0, shares.Owed[i]);
+    return std::pair(route.Split[i].Weight > 0, shares.CurrentWeights[i]);
   };
   std::size_t best = 0;
   for (std::size_t i = 1; i < route.Split.size(); ++i)
     if (rank(i) > rank(best))
       best = i;
-  shares.Owed[best] -= sum;
+  shares.CurrentWeights[best] -= sum;
   return route.Split[best].Service;
 }
 
--- a/src/libhickoryglade/standingboard.cpp
+++ b/src/libhickoryglade/standingboard.cpp
@@ -4,12 +4,12 @@
 
 namespace hickoryglade {
 
-bool isPassing(Standing state) {
+bool isTransient(Standing state) {
   return state == Standing::Suspect || state == Standing::Trial;
 }
 
-bool takeReport(StandingBoard &board, const StandingReport &report,
-                Instant now) {
+bool applyReport(StandingBoard &board, const StandingReport &report,
+                 Instant now) {
   auto [it, isNew] = board.Entries.try_emplace(report.Node);
   StandingBoard::Entry &entry = it->second;
   bool isOld =
@@ -17,28 +17,29 @@
                     std::tie(entry.Report.BootId, entry.Report.Sequence);
   if (isOld)
     return false;
-  bool isNews =
+  bool isChange =
       isNew ? !report.States.empty() : report.States != entry.Report.States;
   entry = {report, now};
-  return isNews;
+  return isChange;
 }
 
-// Reports without endpoints are kept for the term too: earlier ones may come
-// late.
+// Reports without endpoints are also kept until they expire, since an earlier
+// report may still arrive after them.
 bool expireReports(StandingBoard &board, Instant now) {
-  bool hasNamed = false;
+  bool hasEndpoints = false;
   std::erase_if(board.Entries, [&](const auto &it) {
-    bool isLapsed = now - it.second.HeardAt > StandingTerm;
-    hasNamed = hasNamed || (isLapsed && !it.second.Report.States.empty());
-    return isLapsed;
+    bool isExpired = now - it.second.ReceivedAt > StandingLifetime;
+    hasEndpoints =
+        hasEndpoints || (isExpired && !it.second.Report.States.empty());
+    return isExpired;
   });
-  return hasNamed;
+  return hasEndpoints;
 }
 
-std::optional<Standing> passingStanding(const StandingBoard &board,
-                                        const std::string &node,
-                                        std::int64_t bootId,
-                                        const std::string &endpoint) {
+std::optional<Standing> transientStanding(const StandingBoard &board,
+                                          const std::string &node,
+                                          std::int64_t bootId,
+                                          const std::string &endpoint) {
   auto entry = board.Entries.find(node);
   if (entry == board.Entries.end() || entry->second.Report.BootId != bootId)
     return std::nullopt;
--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -25,7 +25,7 @@
 using Indexes = std::vector<std::size_t>;
 
 double freedom(const Candidate &it) {
-  return knownFree(it) + (it.IsLocal ? LocalBonus : 0);
+  return knownFreeSlots(it) + (it.IsLocal ? LocalBonus : 0);
 }
 
 /// The freest gate, at random among equals; they must have been shuffled.
@@ -38,7 +38,7 @@
 Indexes leastPressed(std::span<const Candidate> candidates, Indexes among,
                      std::size_t most) {
   std::ranges::stable_sort(
-      among, {}, [&](std::size_t i) { return pressure(candidates[i]); });
+      among, {}, [&](std::size_t i) { return loadPerSlot(candidates[i]); });
   among.resize(std::min(among.size(), most));
   return among;
 }
@@ -48,7 +48,7 @@
                     const Indexes &among) {
   double sum = 0;
   for (std::size_t i : among)
-    sum += pressure(candidates[i]);
+    sum += loadPerSlot(candidates[i]);
   return sum / double(among.size());
 }
 
@@ -70,12 +70,12 @@
 }
 
 RoutePlan planFar(std::span<const Candidate> candidates, const Indexes &near,
-                  const Indexes &far, const RouteQuestion &question,
+                  const Indexes &far, const RouteRequest &question,
                   Random &rng) {
   Indexes place = chooseFar(candidates, far, rng);
-  if (question.RoomRefusals < RefusalsBeforeAll) {
+  if (question.CapacityRefusals < RefusalsBeforeAll) {
     std::size_t best = freest(candidates, place);
-    if (knownFree(candidates[best]) > 0)
+    if (knownFreeSlots(candidates[best]) > 0)
       return {{best}, false, true, "free slot elsewhere"};
   }
   Indexes targets = leastPressed(candidates, near, MostTickets / 2);
@@ -86,10 +86,10 @@
 }
 
 RoutePlan planNearest(std::span<const Candidate> candidates,
-                      const RouteQuestion &question, Random &rng) {
+                      const RouteRequest &question, Random &rng) {
   if (question.IsSerialized)
     return planSerialized(candidates, question.Fingerprint);
-  Indexes among = eligible(candidates, question, rng);
+  Indexes among = eligibleCandidates(candidates, question, rng);
   if (among.empty())
     return {{}, false, false, "no candidate"};
   std::ranges::shuffle(among, rng);
@@ -97,12 +97,12 @@
       among, [&](std::size_t i) { return candidates[i].IsNear; });
   Indexes far(rest.begin(), rest.end());
   Indexes near(among.begin(), rest.begin());
-  if (!near.empty() && question.RoomRefusals == 0) {
+  if (!near.empty() && question.CapacityRefusals == 0) {
     std::size_t best = freest(candidates, near);
-    if (knownFree(candidates[best]) > 0)
+    if (knownFreeSlots(candidates[best]) > 0)
       return {{best}, false, true, "free slot near"};
   }
-  bool isNearTried = question.RoomRefusals > 1;
+  bool isNearTried = question.CapacityRefusals > 1;
   if (far.empty() || (!near.empty() && !isNearTried)) {
     RoutePlan plan{leastPressed(candidates, near, MostTickets), true, false,
                    "tickets near"};
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -23,7 +23,7 @@
 constexpr double LocalBonus = 0.5;
 
 double attraction(const Candidate &it) {
-  return knownFree(it) - (it.IsNear ? 0 : FarPenalty) +
+  return knownFreeSlots(it) - (it.IsNear ? 0 : FarPenalty) +
          (it.IsLocal ? LocalBonus : 0);
 }
 
@@ -32,22 +32,23 @@
 }
 
 RoutePlan planTickets(std::span<const Candidate> candidates,
-                      const RouteQuestion &question, Random &rng) {
+                      const RouteRequest &question, Random &rng) {
   if (question.IsSerialized)
     return planSerialized(candidates, question.Fingerprint);
-  std::vector<std::size_t> among = eligible(candidates, question, rng);
+  std::vector<std::size_t> among =
+      eligibleCandidates(candidates, question, rng);
   if (among.empty())
     return {{}, false, false, "no candidate"};
   shuffle(among, rng);
   auto freest = std::ranges::max_element(among, {}, [&](std::size_t i) {
-    bool isFree = knownFree(candidates[i]) >= FreeForDirectSend;
+    bool isFree = knownFreeSlots(candidates[i]) >= FreeForDirectSend;
     return std::pair(isFree, attraction(candidates[i]));
   });
-  bool isFreeKnown = knownFree(candidates[*freest]) >= FreeForDirectSend;
-  if (isFreeKnown && !question.HasMissed)
+  bool isFreeKnown = knownFreeSlots(candidates[*freest]) >= FreeForDirectSend;
+  if (isFreeKnown && !question.WasSlotTaken)
     return {{*freest}, false, true, "free slot known"};
   std::ranges::stable_sort(among, {}, [&](std::size_t i) {
-    return std::pair(pressure(candidates[i]), !candidates[i].IsNear);
+    return std::pair(loadPerSlot(candidates[i]), !candidates[i].IsNear);
   });
   among.resize(std::min(among.size(), MostTickets));
   return {among, true, false, "tickets"};
--- a/src/plugins/twochoices/twochoices.cpp
+++ b/src/plugins/twochoices/twochoices.cpp
@@ -10,15 +10,16 @@
 namespace {
 
 RoutePlan planTwoChoices(std::span<const Candidate> candidates,
-                         const RouteQuestion &question, Random &rng) {
+                         const RouteRequest &question, Random &rng) {
   if (question.IsSerialized)
     return planSerialized(candidates, question.Fingerprint);
-  std::vector<std::size_t> among = eligible(candidates, question, rng);
+  std::vector<std::size_t> among =
+      eligibleCandidates(candidates, question, rng);
   if (among.empty())
     return {{}, false, false, "no candidate"};
   std::size_t first = among[uniform(rng, among.size())];
   std::size_t second = among[uniform(rng, among.size())];
-  if (pressure(candidates[second]) < pressure(candidates[first]))
+  if (loadPerSlot(candidates[second]) < loadPerSlot(candidates[first]))
     std::swap(first, second);
   return {{first}, false, false, "less loaded of two"};
 }
--- a/tests/kernel/test_decisions.cpp
+++ b/tests/kernel/test_decisions.cpp
@@ -21,14 +21,14 @@
 }
 
 RoutePlan plan(const char *router, const std::vector<Candidate> &all,
-               RouteQuestion question = {}) {
+               RouteRequest question = {}) {
   Random rng(1);
   return Registry<RouterPolicy>::instance().find(router)->Plan(all, question,
                                                                rng);
 }
 
-RetryAnswer retry(ErrorKind kind, RunState run, bool isIdempotent,
-                  RetryBudget &budget) {
+RetryDecision retry(ErrorKind kind, RunState run, bool isIdempotent,
+                    RetryBudget &budget) {
   return decideRetry({{kind, run, {}, {}},
                       isIdempotent,
                       1,
@@ -42,8 +42,8 @@
 TEST_CASE("every error kind has its own row in the table") {
   for (int i = 0; i <= int(ErrorKind::SlotTaken); ++i) {
     auto kind = static_cast<ErrorKind>(i);
-    CHECK(answerFor(kind).Kind == kind);
-    CHECK(answerFor(kind).Status >= 400);
+    CHECK(errorInfo(kind).Kind == kind);
+    CHECK(errorInfo(kind).Status >= 400);
   }
   CHECK(errorKindFromWire(999) == ErrorKind::Internal);
   CHECK(errorKindFromWire(-1) == ErrorKind::Internal);
@@ -92,7 +92,7 @@
 TEST_CASE("copies of a suspicious request meet at one gate") {
   std::vector<Candidate> all{candidate("a", 3), candidate("b", 3),
                              candidate("c", 3)};
-  RouteQuestion question;
+  RouteRequest question;
   question.IsSerialized = true;
   question.Fingerprint = 99;
   auto first = plan("two_choices", all, question).Targets;
--- a/tests/kernel/test_doubt.cpp
+++ b/tests/kernel/test_doubt.cpp
@@ -36,7 +36,7 @@
   gate.Services["w/s"].Policy.FailuresForDoubt = 1;
   gate.Services["w/s"].Policy.FirstRest = Millis(500);
   gate.Services["w/s"].Policy.MostRest = Millis(1'500);
-  gate.Services["w/s"].Policy.TrialPatience = Millis(3'000);
+  gate.Services["w/s"].Policy.TrialIdleTimeout = Millis(3'000);
   gate.Services["w/s"].Gates = 4;
   announce(gate, endpoint("e"), at(0));
   return gate;
@@ -201,17 +201,18 @@
   std::vector<Candidate> all = {candidate("a", Standing::Healthy, 0),
                                 candidate("b", Standing::Suspect, 3),
                                 candidate("c", Standing::Trial, 0)};
-  RouteQuestion question;
+  RouteRequest question;
   question.MaySpill = true;
   question.TrialOdds = 1'000'000'000;
   Random rng(1);
-  CHECK(eligible(all, question, rng) == std::vector<std::size_t>{1});
+  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{1});
   question.IsIdempotent = false;
-  CHECK(eligible(all, question, rng) == std::vector<std::size_t>{0});
+  CHECK(eligibleCandidates(all, question, rng) == std::vector<std::size_t>{0});
   question.IsIdempotent = true;
   all[0].FreeSlots = 1;
   for (int i = 0; i < 20; ++i)
-    CHECK(eligible(all, question, rng) != std::vector<std::size_t>{1});
+    CHECK(eligibleCandidates(all, question, rng) !=
+          std::vector<std::size_t>{1});
 }
 
 TEST_CASE("a gate keeps to its part of the fleet's retries") {
@@ -344,10 +345,10 @@
 
 TEST_CASE("endpoints that may have run a request count towards its limit") {
   RetryBudget budget;
-  RetryQuestion question{makeError(ErrorKind::EndpointFailed), true, 2,
-                         milliseconds(500), milliseconds(10)};
+  RetryContext question{makeError(ErrorKind::EndpointFailed), true, 2,
+                        milliseconds(500), milliseconds(10)};
   question.Runs = 1;
-  question.MostRuns = 2;
+  question.MaxRuns = 2;
   CHECK(decideRetry(question, budget).Verdict == RetryVerdict::Retry);
   question.Runs = 2;
   CHECK(decideRetry(question, budget).Verdict == RetryVerdict::GiveUp);
--- a/tests/kernel/test_keys.cpp
+++ b/tests/kernel/test_keys.cpp
@@ -36,26 +36,26 @@
 
 } // namespace
 
-TEST_CASE("a key goes to the first request, and to that one again") {
+TEST_CASE("a key is granted to the first request and to its repeats") {
   KeyTable table;
   table.put("k", running("r1"));
   const KeyEntry &entry = table.put("k", running("r2"));
-  CHECK(judgeKey(entry, "r2", 1) == KeyVerdict::Running);
-  CHECK(judgeKey(entry, "r1", 1) == KeyVerdict::Granted);
-  CHECK(judgeKey(entry, "r1", 2) == KeyVerdict::Reused);
+  CHECK(evaluateKey(entry, "r2", 1) == KeyVerdict::Running);
+  CHECK(evaluateKey(entry, "r1", 1) == KeyVerdict::Granted);
+  CHECK(evaluateKey(entry, "r1", 2) == KeyVerdict::Reused);
 }
 
-TEST_CASE("what has ended stays ended") {
+TEST_CASE("a record of an ended run does not return to running") {
   KeyTable table;
   table.put("k", running("r1"));
   table.put("k", done("r1", 10));
   const KeyEntry &entry = table.put("k", running("r1"));
-  CHECK(judgeKey(entry, "r1", 1) == KeyVerdict::Done);
+  CHECK(evaluateKey(entry, "r1", 1) == KeyVerdict::Done);
   table.release("k", "r1");
   CHECK(table.find("k") != nullptr);
 }
 
-TEST_CASE("a released key may be used again, an expired one is forgotten") {
+TEST_CASE("a released key may be used again, an expired one is removed") {
   KeyTable table;
   table.put("k", running("r1"));
   table.release("k", "r1");
@@ -65,19 +65,19 @@
   CHECK(table.size() == 0);
 }
 
-TEST_CASE("answers are bounded, the fact that the work has run is kept") {
+TEST_CASE("large answers are dropped, but the end of the run stays known") {
   KeyTable table;
-  table.put("big", done("r1", KeyTable::MostAnswerBytes + 1));
-  CHECK(judgeKey(*table.find("big"), "r2", 1) == KeyVerdict::AnswerGone);
-  int n = int(KeyTable::MostBytes / KeyTable::MostAnswerBytes) + 2;
+  table.put("big", done("r1", KeyTable::MaxAnswerBytes + 1));
+  CHECK(evaluateKey(*table.find("big"), "r2", 1) == KeyVerdict::AnswerGone);
+  int n = int(KeyTable::MaxBytes / KeyTable::MaxAnswerBytes) + 2;
   for (int i = 0; i < n; ++i)
-    table.put("k" + std::to_string(i), done("r", KeyTable::MostAnswerBytes));
-  CHECK(judgeKey(*table.find("k0"), "r2", 1) == KeyVerdict::AnswerGone);
-  CHECK(judgeKey(*table.find("k" + std::to_string(n - 1)), "r2", 1) ==
+    table.put("k" + std::to_string(i), done("r", KeyTable::MaxAnswerBytes));
+  CHECK(evaluateKey(*table.find("k0"), "r2", 1) == KeyVerdict::AnswerGone);
+  CHECK(evaluateKey(*table.find("k" + std::to_string(n - 1)), "r2", 1) ==
         KeyVerdict::Done);
 }
 
-TEST_CASE("when a keeper goes, the holder of the copy takes its place") {
+TEST_CASE("a removed keeper is replaced by the holder of the second copy") {
   auto all = roster({"a", "b", "c", "d", "e"});
   for (int i = 0; i < 100; ++i) {
     std::string key = "key" + std::to_string(i);
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE("lost records are noticed, handed-on ones are not missed") {
+TEST_CASE("lost records are detected unless their keeper handed them on") {
   auto all = roster({"a", "b", "c", "d"});
   auto ranked = rankKeepers(all, "key");
   auto rest = all;
@@ -99,32 +99,32 @@
   KeyPlacement crashed;
   crashed.note(all, {}, at(0));
   crashed.note(rest, {}, at(10));
-  CHECK(!crashed.witnesses("key", asked, seconds(600), at(20)));
-  CHECK(crashed.witnesses("key", asked, seconds(600), at(700)));
+  CHECK(!crashed.formerKeepersToQuery("key", asked, seconds(600), at(20)));
+  CHECK(crashed.formerKeepersToQuery("key", asked, seconds(600), at(700)));
 
   KeyPlacement left;
   left.note(all, {}, at(0));
   left.note(rest, {ranked[0]}, at(10));
-  auto more = left.witnesses("key", asked, seconds(600), at(20));
+  auto more = left.formerKeepersToQuery("key", asked, seconds(600), at(20));
   REQUIRE(more);
   CHECK(more->empty());
 }
 
-TEST_CASE("after two joins a former keeper is asked as well") {
+TEST_CASE("after two joins a former keeper is queried as well") {
   auto all = roster({"a", "b", "c", "d", "e", "f"});
   auto ranked = rankKeepers(all, "key");
   std::vector<LeaseHolder> before(ranked.begin() + 2, ranked.end());
   KeyPlacement placement;
   placement.note(before, {}, at(0));
   placement.note(all, {}, at(10));
-  auto more =
-      placement.witnesses("key", {ranked[0], ranked[1]}, seconds(600), at(20));
+  auto more = placement.formerKeepersToQuery("key", {ranked[0], ranked[1]},
+                                             seconds(600), at(20));
   REQUIRE(more);
   REQUIRE(more->size() == 1);
   CHECK(more->front() == ranked[2]);
 }
 
-TEST_CASE("a keeper that restarted has no memory of before") {
+TEST_CASE("records of a restarted keeper count as lost") {
   auto all = roster({"a", "b"});
   auto restarted = all;
   restarted[0].BootId = 2;
@@ -132,5 +132,5 @@
   KeyPlacement placement;
   placement.note(all, {}, at(0));
   placement.note(restarted, {}, at(5));
-  CHECK(!placement.witnesses("key", restarted, seconds(600), at(6)));
+  CHECK(!placement.formerKeepersToQuery("key", restarted, seconds(600), at(6)));
 }
--- a/tests/kernel/test_leases.cpp
+++ b/tests/kernel/test_leases.cpp
@@ -29,7 +29,7 @@
   return events.back().What;
 }
 
-LeaseRecord keeper(const std::string &node, std::int64_t boot) {
+LeaseRecord acquireKeeper(const std::string &node, std::int64_t boot) {
   LeaseRecord record;
   record.Subject = {LeaseKind::Keeper, "", node};
   record.Holder = {node, boot};
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("two judges at once cannot eject below the floor") {
+TEST_CASE("two nodes that eject at the same time cannot go below the floor") {
   LeaseLedger ledger;
   CHECK(fold(ledger, acquire(EndpointA, "n1", {"b", "c", "d"}, 3)) ==
         LeaseEvent::Change::Granted);
@@ -60,10 +60,11 @@
         LeaseEvent::Change::Denied);
 }
 
-TEST_CASE("a holder that pauses and wakes finds its lease over") {
+TEST_CASE("the lease of a paused holder ends a term after its last read") {
   LeaseAgent agent;
   agent.Self = {"n1", 1};
-  takeRecord(agent, 0, encodeLease(acquire(EndpointA, "n1", {"b"}, 1)), at(0));
+  applyLeaseRecord(agent, 0, encodeLease(acquire(EndpointA, "n1", {"b"}, 1)),
+                   at(0));
   noteRead(agent, at(1));
   REQUIRE(leaseEnd(agent, EndpointA));
   CHECK(*leaseEnd(agent, EndpointA) == at(1) + LeaseTerm);
@@ -78,38 +79,38 @@
   auto due = dueChallenges(agent, members, at(0));
   REQUIRE(due.size() == 1);
   CHECK(due[0].Action == LeaseAction::Challenge);
-  takeRecord(agent, 1, encodeLease(due[0]), at(1));
+  applyLeaseRecord(agent, 1, encodeLease(due[0]), at(1));
   CHECK(dueChallenges(agent, members, at(10)).empty());
   due = dueChallenges(agent, members, at(1) + ChallengeTerm);
   REQUIRE(due.size() == 1);
   CHECK(due[0].Action == LeaseAction::Evict);
-  takeRecord(agent, 2, encodeLease(due[0]), at(17));
+  applyLeaseRecord(agent, 2, encodeLease(due[0]), at(17));
   CHECK(agent.Ledger.Leases.empty());
 }
 
-TEST_CASE("a renewal voids the challenge and its eviction") {
+TEST_CASE("a renewal cancels a challenge and the eviction based on it") {
   LeaseLedger ledger;
   fold(ledger, acquire(EndpointA, "n1", {"b"}, 1));
   LeaseAgent holder = agentOf("n1", ledger);
   LeaseAgent other = agentOf("n2", ledger);
   auto challenge = dueChallenges(other, {{{"n1", 1}, 0, true}}, at(0));
   std::string bytes = encodeLease(challenge.at(0));
-  takeRecord(holder, 1, bytes, at(1));
-  takeRecord(other, 1, bytes, at(1));
+  applyLeaseRecord(holder, 1, bytes, at(1));
+  applyLeaseRecord(other, 1, bytes, at(1));
   auto renewals = dueRenewals(holder, at(1));
   REQUIRE(renewals.size() == 1);
-  takeRecord(other, 2, encodeLease(renewals[0]), at(2));
+  applyLeaseRecord(other, 2, encodeLease(renewals[0]), at(2));
   LeaseRecord evict = challenge[0];
   evict.Action = LeaseAction::Evict;
   evict.ChallengedAt = 1;
-  CHECK(takeRecord(other, 3, encodeLease(evict), at(30)).empty());
+  CHECK(applyLeaseRecord(other, 3, encodeLease(evict), at(30)).empty());
   CHECK(isHeldBy(other.Ledger, EndpointA, {"n1", 1}));
 }
 
-TEST_CASE("a keeper is challenged by its successor alone") {
+TEST_CASE("only its successor challenges a keeper") {
   LeaseLedger ledger;
   for (const char *node : {"k1", "k2", "k3"})
-    fold(ledger, keeper(node, 1));
+    fold(ledger, acquireKeeper(node, 1));
   std::vector<LedgerMember> members{
       {{"k1", 1}, 9, true}, {{"k2", 1}, 9}, {{"k3", 1}, 9}};
   LeaseAgent third = agentOf("k3", ledger);
@@ -118,10 +119,11 @@
   CHECK(dueChallenges(second, members, at(0)).size() == 1);
 }
 
-TEST_CASE("who has promised does not challenge, who challenges not promise") {
+TEST_CASE("a successor does not challenge after a promise or promise after a "
+          "challenge") {
   LeaseLedger ledger;
   for (const char *node : {"k1", "k2"})
-    fold(ledger, keeper(node, 1));
+    fold(ledger, acquireKeeper(node, 1));
   std::vector<LedgerMember> members{{{"k1", 1}, 9, true}, {{"k2", 1}, 9}};
   LeaseAgent second = agentOf("k2", ledger);
   REQUIRE(promise(second, {"k1", 1}, at(0)));
@@ -130,11 +132,10 @@
   CHECK(!promise(second, {"k1", 1}, at(17)));
 }
 
-TEST_CASE("a keeper that joins between two waits until the former successor "
-          "knows") {
+TEST_CASE("a new successor waits until the former one has read its grant") {
   LeaseLedger ledger;
   for (const char *node : {"k1", "k3", "k2"})
-    fold(ledger, keeper(node, 1));
+    fold(ledger, acquireKeeper(node, 1));
   LeaseAgent joined = agentOf("k2", ledger);
   std::vector<LedgerMember> members{
       {{"k1", 1}, 3, true}, {{"k2", 1}, 3}, {{"k3", 1}, 2}};
@@ -143,18 +144,18 @@
   CHECK(dueChallenges(joined, members, at(0)).size() == 1);
 }
 
-TEST_CASE("a holder not heard of yet is not challenged at once") {
+TEST_CASE("a holder unknown to the membership is challenged after a timeout") {
   LeaseLedger ledger;
   fold(ledger, acquire(EndpointA, "unheard", {"b"}, 1));
   LeaseAgent agent = agentOf("n2", ledger);
   agent.StartedAt = at(100);
   CHECK(dueChallenges(agent, {}, at(101)).empty());
   CHECK(dueChallenges(agent, {}, at(161)).size() == 1);
-  agent.Written.clear();
+  agent.UnreadRecords.clear();
   CHECK(dueChallenges(agent, {{{"unheard", 2}, 0}}, at(101)).size() == 1);
 }
 
-TEST_CASE("a late reader learns of a lease by its renewal") {
+TEST_CASE("a renewal shows the lease to a reader that started late") {
   LeaseLedger late;
   late.Next = 10;
   LeaseRecord renewal = acquire(EndpointA, "n1", {}, 0);
@@ -163,7 +164,7 @@
   CHECK(isHeldBy(late, EndpointA, {"n1", 1}));
 }
 
-TEST_CASE("records that do not parse change nothing") {
+TEST_CASE("malformed lease records change nothing") {
   LeaseLedger ledger;
   for (const char *bytes : {"", "{}", "[1]", R"({"action":"acquire"})"})
     CHECK(foldLease(ledger, ledger.Next, bytes).empty());
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -95,7 +95,7 @@
   const auto *router = Registry<RouterPolicy>::instance().find(Policy.Router);
   RoutePlan plan =
       router->Plan(all,
-                   {call->IsLong, call->IsIdempotent, call->HasMissed,
+                   {call->IsLong, call->IsIdempotent, call->WasSlotTaken,
                     rule == QuarantineRule::Serialized, call->Fingerprint},
                    node.Door.Rng);
   if (plan.Targets.empty())
@@ -188,17 +188,17 @@
     return finish(call, told, ErrorKind::Internal);
   if (error.Kind != ErrorKind::SlotTaken && !attempt->Chosen.empty())
     call->Tried.insert(attempt->Chosen);
-  call->HasMissed = call->HasMissed || error.Kind == ErrorKind::SlotTaken;
+  call->WasSlotTaken = call->WasSlotTaken || error.Kind == ErrorKind::SlotTaken;
   if (error.Kind == ErrorKind::ContentSuspect)
     call->Crashes = std::max(call->Crashes, 1);
   call->MayHaveRun = call->MayHaveRun || error.Run == RunState::Unknown;
   bool isSafe = call->IsIdempotent || !has(Mechanism::Retry);
   call->FreeTries += isFreeRetry(error.Kind);
-  RetryAnswer answer =
+  RetryDecision answer =
       decideRetry({error, isSafe, call->Attempts - call->FreeTries,
                    call->Deadline - Now, Micros(0)},
                   Nodes.at(call->Entry).Budget);
-  if (answer.Verdict == RetryVerdict::Retry && call->FreeTries < MostFreeTries)
+  if (answer.Verdict == RetryVerdict::Retry && call->FreeTries < FreeRetryLimit)
     return tryOnce(call);
   giveUp(call, error);
 }
@@ -206,8 +206,8 @@
 void World::giveUp(const std::shared_ptr<Call> &call, const Error &error) {
   bool isUnknown = finalError(error, call->MayHaveRun).Run == RunState::Unknown;
   if (call->Outcome == Told::Nothing)
-    call->RetryAfter = retryAdvice(error.RetryAfter,
-                                   toMillis(call->Deadline - Now), AdviceRng);
+    call->RetryAfter = suggestRetryAfter(
+        error.RetryAfter, toMillis(call->Deadline - Now), AdviceRng);
   finish(call, isUnknown ? Told::Unknown : Told::NotRun, error.Kind);
 }
 
