--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -18,8 +18,8 @@
 /// Two failures in a row make more than half of the share.
 constexpr double LatestOutcomeWeight = 0.3;
 
-void fallIll(GateEndpoint &endpoint, const std::string &reason, bool isSick,
-             Instant now, GateActions &actions) {
+void markSuspect(GateEndpoint &endpoint, const std::string &reason, bool isSick,
+                 Instant now, GateActions &actions) {
   if (endpoint.State == Standing::Trial)
     ++endpoint.Relapses;
   if (endpoint.RecoveredAt && now - *endpoint.RecoveredAt < RelapseMemory)
@@ -130,7 +130,7 @@
   bool isNews =
       endpoint.State == Standing::Healthy || endpoint.State == Standing::Trial;
   if (isNews)
-    fallIll(endpoint, judgement.Reason, isSick, now, actions);
+    markSuspect(endpoint, judgement.Reason, isSick, now, actions);
   else if (isSick && !isEjected(endpoint, now))
     actions.push_back(
         EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, true});
