--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -64,8 +64,8 @@
 
 /// Idempotent work of a stalled endpoint is handed back, so that the entry
 /// can run it elsewhere, if it still may.
-void handBack(const GateEndpoint &endpoint, const ServicePolicy &policy,
-              Instant now, GateActions &actions) {
+void abortOverdue(const GateEndpoint &endpoint, const ServicePolicy &policy,
+                  Instant now, GateActions &actions) {
   std::vector<std::string> given;
   for (const SlotHolder &holder : endpoint.Holders)
     if (holder.IsStarted && isWorthHandingBack(holder, policy, now))
@@ -124,7 +124,7 @@
   endpoint.IsHanging = endpoint.IsHanging || judgement.IsHanging;
   bool isSick = judgement.Verdict == HealthVerdict::Sick;
   if (isSick || endpoint.IsHanging)
-    handBack(endpoint, policy, now, actions);
+    abortOverdue(endpoint, policy, now, actions);
   if (judgement.Verdict == HealthVerdict::Well)
     return;
   bool isNews =
