--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -66,11 +66,11 @@
 /// can run it elsewhere, if it still may.
 void abortOverdue(const GateEndpoint &endpoint, const ServicePolicy &policy,
                   Instant now, GateActions &actions) {
-  std::vector<std::string> given;
+  std::vector<std::string> overdue;
   for (const SlotHolder &holder : endpoint.Holders)
     if (holder.IsStarted && isWorthHandingBack(holder, policy, now))
-      given.push_back(holder.Request.AttemptId);
-  for (const std::string &attempt : given)
+      overdue.push_back(holder.Request.AttemptId);
+  for (const std::string &attempt : overdue)
     actions.push_back(AbortAction{
         attempt, makeError(ErrorKind::EndpointFailed, "the endpoint stalls")});
 }
