--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -78,8 +78,8 @@
   });
 }
 
-bool isWorthHandingBack(const SlotHolder &holder, const ServicePolicy &policy,
-                        Instant now) {
+bool shouldRetryElsewhere(const SlotHolder &holder, const ServicePolicy &policy,
+                          Instant now) {
   const Ticket &ticket = holder.Request;
   Micros usual = HandBackFactor * ticket.ExpectedCost;
   bool isOverdue =
--- a/src/libhickoryglade/gateendpoint.h
+++ b/src/libhickoryglade/gateendpoint.h
@@ -82,8 +82,8 @@
 
 /// True for a request that has run for much longer than such requests take, and
 /// has time for another try.
-bool isWorthHandingBack(const SlotHolder &holder, const ServicePolicy &policy,
-                        Instant now);
+bool shouldRetryElsewhere(const SlotHolder &holder, const ServicePolicy &policy,
+                          Instant now);
 
 int freeSlots(const GateEndpoint &endpoint);
 int longHeld(const GateEndpoint &endpoint, Instant now, Micros longAfter);
--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -68,7 +68,7 @@
                   Instant now, GateActions &actions) {
   std::vector<std::string> overdue;
   for (const SlotHolder &holder : endpoint.Holders)
-    if (holder.IsStarted && isWorthHandingBack(holder, policy, now))
+    if (holder.IsStarted && shouldRetryElsewhere(holder, policy, now))
       overdue.push_back(holder.Request.AttemptId);
   for (const std::string &attempt : overdue)
     actions.push_back(AbortAction{
