--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -60,7 +60,7 @@
 
 /// Multiple of its expected time after which a request of a hanging endpoint
 /// is given to another, and the time that it needs there.
-constexpr int HandBackFactor = 2;
+constexpr int RetryElsewhereFactor = 2;
 constexpr double OtherTryFactor = 1.25;
 
 } // namespace
@@ -81,7 +81,7 @@
 bool shouldRetryElsewhere(const SlotHolder &holder, const ServicePolicy &policy,
                           Instant now) {
   const Ticket &ticket = holder.Request;
-  Micros usual = HandBackFactor * ticket.ExpectedCost;
+  Micros usual = RetryElsewhereFactor * ticket.ExpectedCost;
   bool isOverdue =
       now - holder.Since > std::max<Micros>(policy.StallAfter, usual);
   bool hasTime = ticket.Deadline - now > OtherTryFactor * ticket.ExpectedCost;
