--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -61,7 +61,7 @@
 /// Multiple of its expected time after which a request of a hanging endpoint
 /// is given to another, and the time that it needs there.
 constexpr int RetryElsewhereFactor = 2;
-constexpr double OtherTryFactor = 1.25;
+constexpr double RetryTimeFactor = 1.25;
 
 } // namespace
 
@@ -84,7 +84,7 @@
   Micros usual = RetryElsewhereFactor * ticket.ExpectedCost;
   bool isOverdue =
       now - holder.Since > std::max<Micros>(policy.StallAfter, usual);
-  bool hasTime = ticket.Deadline - now > OtherTryFactor * ticket.ExpectedCost;
+  bool hasTime = ticket.Deadline - now > RetryTimeFactor * ticket.ExpectedCost;
   return ticket.IsIdempotent && !ticket.IsLastTry && isOverdue && hasTime;
 }
 
