--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -291,7 +291,7 @@
   std::string service = endpoint->Facts.Service;
   noteOutcome(gate, *endpoint, *holder, outcome, now, actions);
   judge(gate, *endpoint, now, actions);
-  handBackWaiting(gate, service, actions);
+  flushIfDoubtful(gate, service, actions);
   dispatch(gate, service, now, actions);
   return actions;
 }
@@ -351,7 +351,7 @@
       return now - it.second > SettleMemory;
     });
     expireQueue(service, now, actions);
-    handBackWaiting(gate, name, actions);
+    flushIfDoubtful(gate, name, actions);
     emptyQueue(gate, name, now, actions);
     dispatch(gate, name, now, actions);
   }
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -157,7 +157,7 @@
                   toMillis(EmptyServiceRetry)));
 }
 
-void handBackWaiting(Gate &gate, const std::string &name,
+void flushIfDoubtful(Gate &gate, const std::string &name,
                      GateActions &actions) {
   GateService &service = gate.Services[name];
   if (service.Queue.size() == 0)
--- a/src/libhickoryglade/gatequeue.h
+++ b/src/libhickoryglade/gatequeue.h
@@ -36,6 +36,6 @@
 
 /// Waiting requests whose entries do not know that the gate's endpoint has
 /// become doubtful are better served elsewhere.
-void handBackWaiting(Gate &gate, const std::string &name, GateActions &actions);
+void flushIfDoubtful(Gate &gate, const std::string &name, GateActions &actions);
 
 } // namespace hickoryglade
