--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -109,7 +109,7 @@
   else if (endpoint.State == Standing::Draining)
     setStanding(endpoint, Standing::Healthy, "announced", now, actions);
   dispatch(gate, facts.Service, now, actions);
-  emptyQueue(gate, facts.Service, now, actions);
+  flushIfNoEndpoint(gate, facts.Service, now, actions);
   return actions;
 }
 
@@ -126,7 +126,7 @@
   else
     it->second.State = Standing::Draining;
   actions.push_back(StandingAction{endpoint, Standing::Draining, "withdrawn"});
-  emptyQueue(gate, service, now, actions);
+  flushIfNoEndpoint(gate, service, now, actions);
   return actions;
 }
 
@@ -324,7 +324,7 @@
   else
     setStanding(target, Standing::Suspect, "lease ended", now, actions);
   target.StateSince = since;
-  emptyQueue(gate, target.Facts.Service, now, actions);
+  flushIfNoEndpoint(gate, target.Facts.Service, now, actions);
   return actions;
 }
 
@@ -352,7 +352,7 @@
     });
     expireQueue(service, now, actions);
     flushIfDoubtful(gate, name, actions);
-    emptyQueue(gate, name, now, actions);
+    flushIfNoEndpoint(gate, name, now, actions);
     dispatch(gate, name, now, actions);
   }
   std::erase_if(gate.Departed,
@@ -366,7 +366,7 @@
   GateActions actions;
   gate.IsDraining = true;
   for (auto &[name, service] : gate.Services)
-    emptyQueue(gate, name, now, actions);
+    flushIfNoEndpoint(gate, name, now, actions);
   return actions;
 }
 
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -147,8 +147,8 @@
   }
 }
 
-void emptyQueue(Gate &gate, const std::string &name, Instant now,
-                GateActions &actions) {
+void flushIfNoEndpoint(Gate &gate, const std::string &name, Instant now,
+                       GateActions &actions) {
   if (!gate.IsDraining && slotsInRotation(gate, name, now) > 0)
     return;
   for (const Ticket &ticket : gate.Services[name].Queue.takeAll())
--- a/src/libhickoryglade/gatequeue.h
+++ b/src/libhickoryglade/gatequeue.h
@@ -31,8 +31,8 @@
 void expireQueue(GateService &service, Instant now, GateActions &actions);
 
 /// Waiting requests leave a gate that has no endpoint for them any more.
-void emptyQueue(Gate &gate, const std::string &name, Instant now,
-                GateActions &actions);
+void flushIfNoEndpoint(Gate &gate, const std::string &name, Instant now,
+                       GateActions &actions);
 
 /// Waiting requests whose entries do not know that the gate's endpoint has
 /// become doubtful are better served elsewhere.
