--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -75,8 +75,8 @@
         attempt, makeError(ErrorKind::EndpointFailed, "the endpoint stalls")});
 }
 
-void blame(Gate &gate, const GateEndpoint &endpoint, std::uint64_t fingerprint,
-           Instant now, GateActions &actions) {
+void reportCrash(Gate &gate, const GateEndpoint &endpoint,
+                 std::uint64_t fingerprint, Instant now, GateActions &actions) {
   const std::string &service = endpoint.Facts.Service;
   noteCrash(gate.Crashes, fingerprint, gate.Node,
             now + gate.Services[service].Policy.QuarantineTerm);
@@ -88,7 +88,7 @@
                   GateActions &actions) {
   for (const DroppedRequest &it : endpoint.Dropped)
     if (now - it.At < DroppedMemory)
-      blame(gate, endpoint, it.Fingerprint, now, actions);
+      reportCrash(gate, endpoint, it.Fingerprint, now, actions);
   endpoint.Dropped.clear();
 }
 
@@ -186,7 +186,7 @@
     ++endpoint.ConsecutiveSheds;
     return;
   case AttemptOutcome::Crashed:
-    blame(gate, endpoint, holder.Request.Fingerprint, now, actions);
+    reportCrash(gate, endpoint, holder.Request.Fingerprint, now, actions);
     endpoint.IsListening = false;
     countFailure(endpoint);
     return;
