--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -84,8 +84,8 @@
 }
 
 /// A restart soon after connections broke was a crash.
-void blameDropped(Gate &gate, GateEndpoint &endpoint, Instant now,
-                  GateActions &actions) {
+void reportDroppedAsCrashes(Gate &gate, GateEndpoint &endpoint, Instant now,
+                            GateActions &actions) {
   for (const DroppedRequest &it : endpoint.Dropped)
     if (now - it.At < DroppedMemory)
       reportCrash(gate, endpoint, it.Fingerprint, now, actions);
@@ -217,7 +217,7 @@
 
 void replaceIncarnation(Gate &gate, GateEndpoint &endpoint,
                         GateActions &actions, Instant now) {
-  blameDropped(gate, endpoint, now, actions);
+  reportDroppedAsCrashes(gate, endpoint, now, actions);
   ++endpoint.Generation;
   endpoint.IsListening = true;
   endpoint.IsHanging = false;
