--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -94,8 +94,8 @@
 
 /// A deadline that was long enough for such a request, during which the
 /// endpoint completed nothing else, speaks against the endpoint.
-bool isTellingTimeout(const GateEndpoint &endpoint, const SlotHolder &holder,
-                      Instant now) {
+bool isConclusiveTimeout(const GateEndpoint &endpoint, const SlotHolder &holder,
+                         Instant now) {
   return endpoint.LastCompletion < holder.Since &&
          now - holder.Since > OverdueFactor * holder.Request.ExpectedCost;
 }
@@ -207,7 +207,7 @@
   case AttemptOutcome::TimedOut:
     // What hung before a trial began says nothing of how it goes.
     if (holder.Since >= endpoint.EvidenceSince &&
-        isTellingTimeout(endpoint, holder, now))
+        isConclusiveTimeout(endpoint, holder, now))
       countFailure(endpoint);
     return;
   case AttemptOutcome::Cancelled:
