--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -52,14 +52,14 @@
       EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, false});
 }
 
-void noteShare(GateEndpoint &endpoint, bool isFailure) {
+void updateFailureShare(GateEndpoint &endpoint, bool isFailure) {
   endpoint.FailureShare +=
       ((isFailure ? 1.0 : 0.0) - endpoint.FailureShare) * LatestOutcomeWeight;
 }
 
 void countFailure(GateEndpoint &endpoint) {
   ++endpoint.ConsecutiveFailures;
-  noteShare(endpoint, true);
+  updateFailureShare(endpoint, true);
 }
 
 /// Idempotent work of a stalled endpoint is handed back, so that the entry
@@ -173,7 +173,7 @@
     ++endpoint.Completions;
     endpoint.ConsecutiveFailures = 0;
     endpoint.ConsecutiveSheds = 0;
-    noteShare(endpoint, false);
+    updateFailureShare(endpoint, false);
     if (endpoint.State != Standing::Draining)
       recover(endpoint, now, actions);
     return;
