--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -122,10 +122,10 @@
   HealthJudgement judgement =
       health->Judge(evidenceOf(endpoint, policy, now), policy);
   endpoint.IsHanging = endpoint.IsHanging || judgement.IsHanging;
-  bool isSick = judgement.Verdict == HealthVerdict::Sick;
+  bool isSick = judgement.Verdict == HealthVerdict::Unhealthy;
   if (isSick || endpoint.IsHanging)
     abortOverdue(endpoint, policy, now, actions);
-  if (judgement.Verdict == HealthVerdict::Well)
+  if (judgement.Verdict == HealthVerdict::Healthy)
     return;
   bool isNews =
       endpoint.State == Standing::Healthy || endpoint.State == Standing::Trial;
--- a/src/libhickoryglade/healthpolicy.h
+++ b/src/libhickoryglade/healthpolicy.h
@@ -28,10 +28,10 @@
   bool operator==(const EndpointEvidence &) const = default;
 };
 
-enum class HealthVerdict { Well, Doubtful, Sick };
+enum class HealthVerdict { Healthy, Doubtful, Unhealthy };
 
 struct HealthJudgement {
-  HealthVerdict Verdict = HealthVerdict::Well;
+  HealthVerdict Verdict = HealthVerdict::Healthy;
   std::string Reason;
   /// Its overdue idempotent work is better run elsewhere until it answers.
   bool IsHanging = false;
--- a/src/plugins/completionodds/completionodds.cpp
+++ b/src/plugins/completionodds/completionodds.cpp
@@ -22,7 +22,7 @@
       peers ? peers->Judge(evidence, policy) : HealthJudgement{};
   if (evidence.HangOdds < OddsForDoubt)
     return judgement;
-  if (judgement.Verdict == HealthVerdict::Well)
+  if (judgement.Verdict == HealthVerdict::Healthy)
     judgement = {HealthVerdict::Doubtful, "hangs on running requests", false};
   judgement.IsHanging = true;
   return judgement;
--- a/src/plugins/consecutivefailures/consecutivefailures.cpp
+++ b/src/plugins/consecutivefailures/consecutivefailures.cpp
@@ -13,7 +13,7 @@
 HealthJudgement judgeByFailures(const EndpointEvidence &evidence,
                                 const ServicePolicy &) {
   if (evidence.ConsecutiveFailures >= FailuresForSickness)
-    return {HealthVerdict::Sick, "failed several requests in a row"};
+    return {HealthVerdict::Unhealthy, "failed several requests in a row"};
   return {};
 }
 
--- a/src/plugins/peercomparison/peercomparison.cpp
+++ b/src/plugins/peercomparison/peercomparison.cpp
@@ -24,9 +24,10 @@
 HealthJudgement judgeByPeers(const EndpointEvidence &evidence,
                              const ServicePolicy &policy) {
   if (evidence.ConsecutiveFailures >= FailuresForSickness)
-    return {HealthVerdict::Sick, "fails every request"};
+    return {HealthVerdict::Unhealthy, "fails every request"};
   if (isStalled(evidence, policy) && hasSecondWitness(evidence, policy))
-    return {HealthVerdict::Sick, "stalls while its peers complete such work"};
+    return {HealthVerdict::Unhealthy,
+            "stalls while its peers complete such work"};
   if (!evidence.IsListening)
     return {HealthVerdict::Doubtful, "does not listen"};
   if (evidence.ConsecutiveFailures >= policy.FailuresForDoubt)
