--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -313,9 +313,9 @@
   if (it == gate.Endpoints.end())
     return actions;
   GateEndpoint &target = it->second;
-  bool isIll =
+  bool isUnhealthy =
       target.State == Standing::Suspect || target.State == Standing::Ejected;
-  if (!isIll)
+  if (!isUnhealthy)
     return actions;
   target.EjectedUntil = until;
   Instant since = target.StateSince;
--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -18,15 +18,15 @@
 /// Two failures in a row make more than half of the share.
 constexpr double LatestOutcomeWeight = 0.3;
 
-void markSuspect(GateEndpoint &endpoint, const std::string &reason, bool isSick,
-                 Instant now, GateActions &actions) {
+void markSuspect(GateEndpoint &endpoint, const std::string &reason,
+                 bool isUnhealthy, Instant now, GateActions &actions) {
   if (endpoint.State == Standing::Trial)
     ++endpoint.Relapses;
   if (endpoint.RecoveredAt && now - *endpoint.RecoveredAt < RelapseMemory)
     ++endpoint.Relapses;
   endpoint.RecoveredAt.reset();
   setStanding(endpoint, Standing::Suspect, reason, now, actions);
-  if (isSick)
+  if (isUnhealthy)
     actions.push_back(
         EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, true});
 }
@@ -122,16 +122,16 @@
   HealthJudgement judgement =
       health->Judge(evidenceOf(endpoint, policy, now), policy);
   endpoint.IsHanging = endpoint.IsHanging || judgement.IsHanging;
-  bool isSick = judgement.Verdict == HealthVerdict::Unhealthy;
-  if (isSick || endpoint.IsHanging)
+  bool isUnhealthy = judgement.Verdict == HealthVerdict::Unhealthy;
+  if (isUnhealthy || endpoint.IsHanging)
     abortOverdue(endpoint, policy, now, actions);
   if (judgement.Verdict == HealthVerdict::Healthy)
     return;
   bool isNews =
       endpoint.State == Standing::Healthy || endpoint.State == Standing::Trial;
   if (isNews)
-    markSuspect(endpoint, judgement.Reason, isSick, now, actions);
-  else if (isSick && !isEjected(endpoint, now))
+    markSuspect(endpoint, judgement.Reason, isUnhealthy, now, actions);
+  else if (isUnhealthy && !isEjected(endpoint, now))
     actions.push_back(
         EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, true});
 }
