--- a/src/plugins/consecutivefailures/consecutivefailures.cpp
+++ b/src/plugins/consecutivefailures/consecutivefailures.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr int FailuresForSickness = 5;
+constexpr int UnhealthyThreshold = 5;
 
 HealthJudgement judgeByFailures(const EndpointEvidence &evidence,
                                 const ServicePolicy &) {
-  if (evidence.ConsecutiveFailures >= FailuresForSickness)
+  if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
     return {HealthVerdict::Unhealthy, "failed several requests in a row"};
   return {};
 }
--- a/src/plugins/peercomparison/peercomparison.cpp
+++ b/src/plugins/peercomparison/peercomparison.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int FailuresForSickness = 6;
+constexpr int UnhealthyThreshold = 6;
 
 bool isStalled(const EndpointEvidence &it, const ServicePolicy &policy) {
   return it.Overdue > 0 && it.SinceCompletion > policy.StallAfter;
@@ -23,7 +23,7 @@
 
 HealthJudgement judgeByPeers(const EndpointEvidence &evidence,
                              const ServicePolicy &policy) {
-  if (evidence.ConsecutiveFailures >= FailuresForSickness)
+  if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
     return {HealthVerdict::Unhealthy, "fails every request"};
   if (isStalled(evidence, policy) && hasSecondWitness(evidence, policy))
     return {HealthVerdict::Unhealthy,
