--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -119,18 +119,18 @@
   const auto *health = Registry<HealthPolicy>::instance().find(policy.Health);
   if (!health)
     return;
-  HealthJudgement judgement =
+  HealthAssessment assessment =
       health->Judge(evidenceOf(endpoint, policy, now), policy);
-  endpoint.IsHanging = endpoint.IsHanging || judgement.IsHanging;
-  bool isUnhealthy = judgement.Verdict == HealthVerdict::Unhealthy;
+  endpoint.IsHanging = endpoint.IsHanging || assessment.IsHanging;
+  bool isUnhealthy = assessment.Verdict == HealthVerdict::Unhealthy;
   if (isUnhealthy || endpoint.IsHanging)
     abortOverdue(endpoint, policy, now, actions);
-  if (judgement.Verdict == HealthVerdict::Healthy)
+  if (assessment.Verdict == HealthVerdict::Healthy)
     return;
   bool isNews =
       endpoint.State == Standing::Healthy || endpoint.State == Standing::Trial;
   if (isNews)
-    markSuspect(endpoint, judgement.Reason, isUnhealthy, now, actions);
+    markSuspect(endpoint, assessment.Reason, isUnhealthy, now, actions);
   else if (isUnhealthy && !isEjected(endpoint, now))
     actions.push_back(
         EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, true});
--- a/src/libhickoryglade/healthpolicy.h
+++ b/src/libhickoryglade/healthpolicy.h
@@ -30,19 +30,19 @@
 
 enum class HealthVerdict { Healthy, Doubtful, Unhealthy };
 
-struct HealthJudgement {
+struct HealthAssessment {
   HealthVerdict Verdict = HealthVerdict::Healthy;
   std::string Reason;
   /// Its overdue idempotent work is better run elsewhere until it answers.
   bool IsHanging = false;
 
-  bool operator==(const HealthJudgement &) const = default;
+  bool operator==(const HealthAssessment &) const = default;
 };
 
 /// Judges evidence. Registered under the names that settings use.
 struct HealthPolicy {
-  HealthJudgement (*Judge)(const EndpointEvidence &evidence,
-                           const ServicePolicy &policy);
+  HealthAssessment (*Judge)(const EndpointEvidence &evidence,
+                            const ServicePolicy &policy);
 };
 
 } // namespace hickoryglade
--- a/src/plugins/completionodds/completionodds.cpp
+++ b/src/plugins/completionodds/completionodds.cpp
@@ -14,18 +14,18 @@
 /// Seven to one, as a log. A wrong doubt ends with the next completion.
 constexpr double OddsForDoubt = 2.0;
 
-HealthJudgement judgeByOdds(const EndpointEvidence &evidence,
-                            const ServicePolicy &policy) {
+HealthAssessment judgeByOdds(const EndpointEvidence &evidence,
+                             const ServicePolicy &policy) {
   const auto *peers =
       Registry<HealthPolicy>::instance().find("peer_comparison");
-  HealthJudgement judgement =
-      peers ? peers->Judge(evidence, policy) : HealthJudgement{};
+  HealthAssessment assessment =
+      peers ? peers->Judge(evidence, policy) : HealthAssessment{};
   if (evidence.HangOdds < OddsForDoubt)
-    return judgement;
-  if (judgement.Verdict == HealthVerdict::Healthy)
-    judgement = {HealthVerdict::Doubtful, "hangs on running requests", false};
-  judgement.IsHanging = true;
-  return judgement;
+    return assessment;
+  if (assessment.Verdict == HealthVerdict::Healthy)
+    assessment = {HealthVerdict::Doubtful, "hangs on running requests", false};
+  assessment.IsHanging = true;
+  return assessment;
 }
 
 const Registrar<HealthPolicy> Registered("completion_odds", {judgeByOdds});
--- a/src/plugins/consecutivefailures/consecutivefailures.cpp
+++ b/src/plugins/consecutivefailures/consecutivefailures.cpp
@@ -10,8 +10,8 @@
 
 constexpr int UnhealthyThreshold = 5;
 
-HealthJudgement judgeByFailures(const EndpointEvidence &evidence,
-                                const ServicePolicy &) {
+HealthAssessment judgeByFailures(const EndpointEvidence &evidence,
+                                 const ServicePolicy &) {
   if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
     return {HealthVerdict::Unhealthy, "failed several requests in a row"};
   return {};
--- a/src/plugins/peercomparison/peercomparison.cpp
+++ b/src/plugins/peercomparison/peercomparison.cpp
@@ -21,8 +21,8 @@
   return isAllOverdue || it.MostOverdue > policy.StallAfter;
 }
 
-HealthJudgement judgeByPeers(const EndpointEvidence &evidence,
-                             const ServicePolicy &policy) {
+HealthAssessment judgeByPeers(const EndpointEvidence &evidence,
+                              const ServicePolicy &policy) {
   if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
     return {HealthVerdict::Unhealthy, "fails every request"};
   if (isStalled(evidence, policy) && hasSecondWitness(evidence, policy))
