--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -120,7 +120,7 @@
   if (!health)
     return;
   HealthAssessment assessment =
-      health->Judge(evidenceOf(endpoint, policy, now), policy);
+      health->Assess(evidenceOf(endpoint, policy, now), policy);
   endpoint.IsHanging = endpoint.IsHanging || assessment.IsHanging;
   bool isUnhealthy = assessment.Verdict == HealthVerdict::Unhealthy;
   if (isUnhealthy || endpoint.IsHanging)
--- a/src/libhickoryglade/healthpolicy.h
+++ b/src/libhickoryglade/healthpolicy.h
@@ -41,8 +41,8 @@
 
 /// Judges evidence. Registered under the names that settings use.
 struct HealthPolicy {
-  HealthAssessment (*Judge)(const EndpointEvidence &evidence,
-                            const ServicePolicy &policy);
+  HealthAssessment (*Assess)(const EndpointEvidence &evidence,
+                             const ServicePolicy &policy);
 };
 
 } // namespace hickoryglade
--- a/src/plugins/completionodds/completionodds.cpp
+++ b/src/plugins/completionodds/completionodds.cpp
@@ -19,7 +19,7 @@
   const auto *peers =
       Registry<HealthPolicy>::instance().find("peer_comparison");
   HealthAssessment assessment =
-      peers ? peers->Judge(evidence, policy) : HealthAssessment{};
+      peers ? peers->Assess(evidence, policy) : HealthAssessment{};
   if (evidence.HangOdds < OddsForDoubt)
     return assessment;
   if (assessment.Verdict == HealthVerdict::Healthy)
