--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -290,7 +290,7 @@
     return actions;
   std::string service = endpoint->Facts.Service;
   noteOutcome(gate, *endpoint, *holder, outcome, now, actions);
-  judge(gate, *endpoint, now, actions);
+  assessHealth(gate, *endpoint, now, actions);
   flushIfDoubtful(gate, service, actions);
   dispatch(gate, service, now, actions);
   return actions;
@@ -336,7 +336,7 @@
     if (endpoint.State == Standing::Ejected && !isEjected(endpoint, now))
       setStanding(endpoint, Standing::Suspect, "lease ended", now, actions);
     expireHolders(gate, endpoint, now, actions);
-    judge(gate, endpoint, now, actions);
+    assessHealth(gate, endpoint, now, actions);
     considerTrial(gate, endpoint, now, actions);
     if (endpoint.State == Standing::Healthy &&
         now - endpoint.StateSince > RelapseMemory)
--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -113,8 +113,8 @@
       StandingAction{endpoint.Facts.Name, state, std::move(reason)});
 }
 
-void judge(Gate &gate, GateEndpoint &endpoint, Instant now,
-           GateActions &actions) {
+void assessHealth(Gate &gate, GateEndpoint &endpoint, Instant now,
+                  GateActions &actions) {
   const ServicePolicy &policy = gate.Services[endpoint.Facts.Service].Policy;
   const auto *health = Registry<HealthPolicy>::instance().find(policy.Health);
   if (!health)
--- a/src/libhickoryglade/gatehealth.h
+++ b/src/libhickoryglade/gatehealth.h
@@ -12,8 +12,8 @@
                  Instant now, GateActions &actions);
 
 /// Asks the health policy and acts on its verdict.
-void judge(Gate &gate, GateEndpoint &endpoint, Instant now,
-           GateActions &actions);
+void assessHealth(Gate &gate, GateEndpoint &endpoint, Instant now,
+                  GateActions &actions);
 
 /// A sick endpoint that has rested may try one request. One that nobody has
 /// tried for long is taken for healthy: its service may have no idempotent
