--- a/src/plugins/completionodds/completionodds.cpp
+++ b/src/plugins/completionodds/completionodds.cpp
@@ -14,8 +14,8 @@
 /// Seven to one, as a log. A wrong doubt ends with the next completion.
 constexpr double OddsForDoubt = 2.0;
 
-HealthAssessment judgeByOdds(const EndpointEvidence &evidence,
-                             const ServicePolicy &policy) {
+HealthAssessment assessByOdds(const EndpointEvidence &evidence,
+                              const ServicePolicy &policy) {
   const auto *peers =
       Registry<HealthPolicy>::instance().find("peer_comparison");
   HealthAssessment assessment =
@@ -28,7 +28,7 @@
   return assessment;
 }
 
-const Registrar<HealthPolicy> Registered("completion_odds", {judgeByOdds});
+const Registrar<HealthPolicy> Registered("completion_odds", {assessByOdds});
 
 } // namespace
 
--- a/src/plugins/consecutivefailures/consecutivefailures.cpp
+++ b/src/plugins/consecutivefailures/consecutivefailures.cpp
@@ -10,15 +10,15 @@
 
 constexpr int UnhealthyThreshold = 5;
 
-HealthAssessment judgeByFailures(const EndpointEvidence &evidence,
-                                 const ServicePolicy &) {
+HealthAssessment assessByFailures(const EndpointEvidence &evidence,
+                                  const ServicePolicy &) {
   if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
     return {HealthVerdict::Unhealthy, "failed several requests in a row"};
   return {};
 }
 
 const Registrar<HealthPolicy> Registered("consecutive_failures",
-                                         {judgeByFailures});
+                                         {assessByFailures});
 
 } // namespace
 
--- a/src/plugins/peercomparison/peercomparison.cpp
+++ b/src/plugins/peercomparison/peercomparison.cpp
@@ -21,8 +21,8 @@
   return isAllOverdue || it.MostOverdue > policy.StallAfter;
 }
 
-HealthAssessment judgeByPeers(const EndpointEvidence &evidence,
-                              const ServicePolicy &policy) {
+HealthAssessment assessByPeers(const EndpointEvidence &evidence,
+                               const ServicePolicy &policy) {
   if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
     return {HealthVerdict::Unhealthy, "fails every request"};
   if (isStalled(evidence, policy) && hasSecondWitness(evidence, policy))
@@ -39,7 +39,7 @@
   return {};
 }
 
-const Registrar<HealthPolicy> Registered("peer_comparison", {judgeByPeers});
+const Registrar<HealthPolicy> Registered("peer_comparison", {assessByPeers});
 
 } // namespace
 
