--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -127,9 +127,9 @@
     abortOverdue(endpoint, policy, now, actions);
   if (assessment.Verdict == HealthVerdict::Healthy)
     return;
-  bool isNews =
+  bool isNewlyDoubtful =
       endpoint.State == Standing::Healthy || endpoint.State == Standing::Trial;
-  if (isNews)
+  if (isNewlyDoubtful)
     markSuspect(endpoint, assessment.Reason, isUnhealthy, now, actions);
   else if (isUnhealthy && !isEjected(endpoint, now))
     actions.push_back(
