--- a/src/libhickoryglade/quarantine.cpp
+++ b/src/libhickoryglade/quarantine.cpp
@@ -43,14 +43,14 @@
 bool mergeCrash(Quarantine &quarantine, std::uint64_t fingerprint,
                 const CrashRecord &record) {
   CrashRecord &own = quarantine.Records[fingerprint];
-  bool isNews = false;
+  bool isChanged = false;
   for (const auto &[node, crashes] : record.ByNode) {
     int &count = own.ByNode[node];
-    isNews = isNews || crashes > count;
+    isChanged = isChanged || crashes > count;
     count = std::max(count, crashes);
   }
   own.Expiry = std::max(own.Expiry, record.Expiry);
-  return isNews;
+  return isChanged;
 }
 
 void expireCrashes(Quarantine &quarantine, Instant now) {
