--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -142,10 +142,10 @@
   static const ServicePolicy defaults;
   const ServicePolicy &policy =
       service == gate.Services.end() ? defaults : service->second.Policy;
-  bool isForgotten = endpoint.State == Standing::Trial &&
-                     !hasStartedSinceChange(endpoint) &&
-                     now - endpoint.StateSince > policy.TrialPatience;
-  if (isForgotten)
+  bool isUntried = endpoint.State == Standing::Trial &&
+                   !hasStartedSinceChange(endpoint) &&
+                   now - endpoint.StateSince > policy.TrialPatience;
+  if (isUntried)
     setStanding(endpoint, Standing::Healthy, "no trial came", now, actions);
   if (endpoint.State != Standing::Suspect &&
       endpoint.State != Standing::Ejected)
