--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -339,7 +339,7 @@
     assessHealth(gate, endpoint, now, actions);
     considerTrial(gate, endpoint, now, actions);
     if (endpoint.State == Standing::Healthy &&
-        now - endpoint.StateSince > RelapseMemory)
+        now - endpoint.StateSince > RelapseWindow)
       endpoint.Relapses = 0;
   }
   std::erase_if(gate.Endpoints, [&](const auto &it) {
--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Time after a broken connection in which a restart counts as its cause.
-constexpr Micros DroppedMemory = std::chrono::seconds(10);
+constexpr Micros DroppedWindow = std::chrono::seconds(10);
 
 /// Answers that end a trial of an endpoint that has relapsed.
 constexpr int AnswersAfterRelapse = 2;
@@ -22,7 +22,7 @@
                  bool isUnhealthy, Instant now, GateActions &actions) {
   if (endpoint.State == Standing::Trial)
     ++endpoint.Relapses;
-  if (endpoint.RecoveredAt && now - *endpoint.RecoveredAt < RelapseMemory)
+  if (endpoint.RecoveredAt && now - *endpoint.RecoveredAt < RelapseWindow)
     ++endpoint.Relapses;
   endpoint.RecoveredAt.reset();
   setStanding(endpoint, Standing::Suspect, reason, now, actions);
@@ -87,7 +87,7 @@
 void reportDroppedAsCrashes(Gate &gate, GateEndpoint &endpoint, Instant now,
                             GateActions &actions) {
   for (const DroppedRequest &it : endpoint.Dropped)
-    if (now - it.At < DroppedMemory)
+    if (now - it.At < DroppedWindow)
       reportCrash(gate, endpoint, it.Fingerprint, now, actions);
   endpoint.Dropped.clear();
 }
@@ -196,7 +196,7 @@
     return;
   case AttemptOutcome::Broken:
     std::erase_if(endpoint.Dropped, [&](const DroppedRequest &it) {
-      return now - it.At >= DroppedMemory;
+      return now - it.At >= DroppedWindow;
     });
     endpoint.Dropped.push_back({holder.Request.Fingerprint, now});
     countFailure(endpoint);
--- a/src/libhickoryglade/gatehealth.h
+++ b/src/libhickoryglade/gatehealth.h
@@ -5,7 +5,7 @@
 namespace hickoryglade {
 
 /// Uneventful time after which relapses are forgiven.
-constexpr Micros RelapseMemory = std::chrono::seconds(60);
+constexpr Micros RelapseWindow = std::chrono::seconds(60);
 
 /// Changes a standing and tells of it, if it is news.
 void setStanding(GateEndpoint &endpoint, Standing state, std::string reason,
