--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// How long announcements of an endpoint that has left may still arrive.
-constexpr Micros DepartedMemory = std::chrono::seconds(60);
+constexpr Micros DepartedRetention = std::chrono::seconds(60);
 
 /// A silent endpoint with nothing running is forgotten after this time.
 constexpr Micros ForgetSilentAfter = std::chrono::seconds(30);
@@ -24,7 +24,7 @@
 constexpr Micros HoldAfterPause = std::chrono::milliseconds(100);
 
 /// How long the settling of crashing content is remembered.
-constexpr Micros SettleMemory = std::chrono::seconds(10);
+constexpr Micros SettleRetention = std::chrono::seconds(10);
 
 void noticePause(Gate &gate, Instant now) {
   if (gate.TickDue && now - *gate.TickDue > PauseLimit)
@@ -120,7 +120,7 @@
     return actions;
   std::string service = it->second.Facts.Service;
   gate.Departed[endpoint] = {it->second.Facts.StartedAtMs,
-                             now + DepartedMemory};
+                             now + DepartedRetention};
   if (it->second.Holders.empty())
     gate.Endpoints.erase(it);
   else
@@ -150,7 +150,7 @@
     actions = withdraw(gate, departed.Name, now);
   DepartedEndpoint &known = gate.Departed[departed.Name];
   known.StartedAtMs = std::max(known.StartedAtMs, departed.StartedAtMs);
-  known.ForgetAt = now + DepartedMemory;
+  known.ForgetAt = now + DepartedRetention;
   return actions;
 }
 
@@ -348,7 +348,7 @@
   });
   for (auto &[name, service] : gate.Services) {
     std::erase_if(service.SettleUntil, [&](const auto &it) {
-      return now - it.second > SettleMemory;
+      return now - it.second > SettleRetention;
     });
     expireQueue(service, now, actions);
     flushIfDoubtful(gate, name, actions);
