--- a/src/libhickoryglade/waitforecast.cpp
+++ b/src/libhickoryglade/waitforecast.cpp
@@ -16,13 +16,13 @@
 constexpr double MostRatio = 50;
 
 /// What was seen longer ago than this says nothing any more.
-constexpr Micros Memory = std::chrono::seconds(2);
+constexpr Micros MaxRatioAge = std::chrono::seconds(2);
 
 } // namespace
 
 void WaitForecast::note(int rank, Micros promised, Micros waited, Instant now) {
   Ratio &ratio = Ratios[rank];
-  if (now - ratio.At > Memory)
+  if (now - ratio.At > MaxRatioAge)
     ratio.Value = 1;
   ratio.At = now;
   double seen = double(std::max(waited, LeastWait).count()) /
@@ -32,7 +32,7 @@
 
 Micros WaitForecast::correct(int rank, Micros promised, Instant now) const {
   auto it = Ratios.find(rank);
-  if (it == Ratios.end() || now - it->second.At > Memory)
+  if (it == Ratios.end() || now - it->second.At > MaxRatioAge)
     return promised;
   return Micros(
       Micros::rep(double(promised.count()) * std::max(it->second.Value, 1.0)));
