--- a/src/libhickoryglade/gaterules.cpp
+++ b/src/libhickoryglade/gaterules.cpp
@@ -45,8 +45,8 @@
   return std::max(1, endpoint.Facts.Slots * policy.LongSlotsPercent / 100);
 }
 
-bool isUnawares(const GateEndpoint &endpoint, const GateService &service,
-                const Ticket &ticket) {
+bool isDoubtfulFor(const GateEndpoint &endpoint, const GateService &service,
+                   const Ticket &ticket) {
   bool isDoubtful =
       endpoint.State == Standing::Suspect || endpoint.State == Standing::Trial;
   if (!isDoubtful || service.Gates <= 1)
@@ -58,7 +58,7 @@
 
 bool mayTake(const GateEndpoint &endpoint, const GateService &service,
              const Ticket &ticket, Instant now) {
-  if (!takesWork(endpoint, now) || isUnawares(endpoint, service, ticket))
+  if (!takesWork(endpoint, now) || isDoubtfulFor(endpoint, service, ticket))
     return false;
   bool isTrial = endpoint.State == Standing::Trial;
   // Work that hangs at an endpoint on trial must have another try.
@@ -126,7 +126,7 @@
   return std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
     return it.second.Facts.Service != ticket.Service ||
            it.second.State == Standing::Draining ||
-           isUnawares(it.second, service, ticket);
+           isDoubtfulFor(it.second, service, ticket);
   });
 }
 
--- a/src/libhickoryglade/gaterules.h
+++ b/src/libhickoryglade/gaterules.h
@@ -18,8 +18,8 @@
 
 /// An entry that does not know yet that an endpoint is doubtful has better
 /// choices.
-bool isUnawares(const GateEndpoint &endpoint, const GateService &service,
-                const Ticket &ticket);
+bool isDoubtfulFor(const GateEndpoint &endpoint, const GateService &service,
+                   const Ticket &ticket);
 
 /// True if the running work of every endpoint here is silent for so long that a
 /// request that may run only once had better go elsewhere.
