--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -162,13 +162,13 @@
     refuse(actions, ticket.AttemptId, std::move(*fault));
     return actions;
   }
-  if (isOnlyUnawares(gate, service, ticket)) {
+  if (isEveryEndpointDoubtful(gate, service, ticket)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint has failed",
                   Millis{0}));
     return actions;
   }
-  if (isOnlySilent(gate, service, ticket, now)) {
+  if (isEveryEndpointSilent(gate, service, ticket, now)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint is silent",
                   Millis{0}));
@@ -193,7 +193,7 @@
     assign(gate, service, *endpoint, ticket, now, actions);
     return actions;
   }
-  if (isOnlyTrials(gate, ticket.Service)) {
+  if (isEveryEndpointOnTrial(gate, ticket.Service)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint is on trial",
                   toMillis(EmptyServiceRetry)));
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -162,8 +162,9 @@
   GateService &service = gate.Services[name];
   if (service.Queue.size() == 0)
     return;
-  auto refused = service.Queue.takeWhere(
-      [&](const Ticket &it) { return isOnlyUnawares(gate, service, it); });
+  auto refused = service.Queue.takeWhere([&](const Ticket &it) {
+    return isEveryEndpointDoubtful(gate, service, it);
+  });
   for (const Ticket &ticket : refused)
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint has failed",
--- a/src/libhickoryglade/gaterules.cpp
+++ b/src/libhickoryglade/gaterules.cpp
@@ -68,8 +68,8 @@
   return !ticket.IsLong || mayHoldLong(endpoint, service, now);
 }
 
-bool isOnlySilent(const Gate &gate, const GateService &service,
-                  const Ticket &ticket, Instant now) {
+bool isEveryEndpointSilent(const Gate &gate, const GateService &service,
+                           const Ticket &ticket, Instant now) {
   bool isExempt = !service.Policy.AvoidsSilent || service.Gates <= 1 ||
                   ticket.IsIdempotent || ticket.AcceptsSilent;
   return !isExempt && std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
@@ -113,7 +113,7 @@
   return slots;
 }
 
-bool isOnlyTrials(const Gate &gate, const std::string &service) {
+bool isEveryEndpointOnTrial(const Gate &gate, const std::string &service) {
   return std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
     return it.second.Facts.Service != service ||
            it.second.State == Standing::Trial ||
@@ -121,8 +121,8 @@
   });
 }
 
-bool isOnlyUnawares(const Gate &gate, const GateService &service,
-                    const Ticket &ticket) {
+bool isEveryEndpointDoubtful(const Gate &gate, const GateService &service,
+                             const Ticket &ticket) {
   return std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
     return it.second.Facts.Service != ticket.Service ||
            it.second.State == Standing::Draining ||
--- a/src/libhickoryglade/gaterules.h
+++ b/src/libhickoryglade/gaterules.h
@@ -23,8 +23,8 @@
 
 /// True if the running work of every endpoint here is silent for so long that a
 /// request that may run only once had better go elsewhere.
-bool isOnlySilent(const Gate &gate, const GateService &service,
-                  const Ticket &ticket, Instant now);
+bool isEveryEndpointSilent(const Gate &gate, const GateService &service,
+                           const Ticket &ticket, Instant now);
 
 /// True if this request may take a slot of the endpoint.
 bool mayTake(const GateEndpoint &endpoint, const GateService &service,
@@ -42,11 +42,11 @@
 int slotsInRotation(const Gate &gate, const std::string &service, Instant now);
 
 /// No request waits behind an endpoint that takes one at a time.
-bool isOnlyTrials(const Gate &gate, const std::string &service);
+bool isEveryEndpointOnTrial(const Gate &gate, const std::string &service);
 
 /// True if every endpoint here is doubtful and the request's entry does not
 /// know.
-bool isOnlyUnawares(const Gate &gate, const GateService &service,
-                    const Ticket &ticket);
+bool isEveryEndpointDoubtful(const Gate &gate, const GateService &service,
+                             const Ticket &ticket);
 
 } // namespace hickoryglade
