--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -174,8 +174,8 @@
                   Millis{0}));
     return actions;
   }
-  if (isOutOfPlace(gate, service, ticket, now)) {
-    refuse(actions, ticket.AttemptId, outOfPlace());
+  if (isAtWrongGate(gate, service, ticket, now)) {
+    refuse(actions, ticket.AttemptId, wrongGateError());
     return actions;
   }
   if (isOverRepeats(service, ticket, now)) {
@@ -231,10 +231,10 @@
     });
     bool isWaiting = holder != endpoint.Holders.end() && !holder->IsStarted;
     const GateService &service = gate.Services[endpoint.Facts.Service];
-    if (isWaiting && isOutOfPlace(gate, service, holder->Request, now)) {
+    if (isWaiting && isAtWrongGate(gate, service, holder->Request, now)) {
       GateEndpoint *unused = nullptr;
       release(gate, attempt, unused);
-      refuse(actions, attempt, outOfPlace());
+      refuse(actions, attempt, wrongGateError());
       return actions;
     }
     if (isWaiting) {
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -65,13 +65,13 @@
          QuarantineRule::Serialized;
 }
 
-bool isOutOfPlace(const Gate &gate, const GateService &service,
-                  const Ticket &ticket, Instant now) {
+bool isAtWrongGate(const Gate &gate, const GateService &service,
+                   const Ticket &ticket, Instant now) {
   return service.Gates > 1 && !ticket.IsSerialized &&
          isSerialized(gate, ticket, now);
 }
 
-Error outOfPlace() {
+Error wrongGateError() {
   return notRun(ErrorKind::ContentSuspect, "its copies meet at another gate",
                 Millis{0});
 }
--- a/src/libhickoryglade/gateadmission.h
+++ b/src/libhickoryglade/gateadmission.h
@@ -24,11 +24,11 @@
 
 /// A copy that was sent off before its entry knew of the crash must not run
 /// beside one that the others have been sent to.
-bool isOutOfPlace(const Gate &gate, const GateService &service,
-                  const Ticket &ticket, Instant now);
+bool isAtWrongGate(const Gate &gate, const GateService &service,
+                   const Ticket &ticket, Instant now);
 
 /// Why such a copy is turned away.
-Error outOfPlace();
+Error wrongGateError();
 
 /// True while another copy of such content runs, or news of one may be due.
 bool isSerializedBusy(const Gate &gate, GateService &service,
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -77,8 +77,8 @@
               toMillis(remainingTerm(gate.Crashes, ticket->Fingerprint, now))));
       continue;
     }
-    if (isOutOfPlace(gate, service, *ticket, now)) {
-      refuse(actions, ticket->AttemptId, outOfPlace());
+    if (isAtWrongGate(gate, service, *ticket, now)) {
+      refuse(actions, ticket->AttemptId, wrongGateError());
       continue;
     }
     if (ticket->Deadline < now + ticket->ExpectedCost) {
