--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -178,7 +178,7 @@
     refuse(actions, ticket.AttemptId, wrongGateError());
     return actions;
   }
-  if (isOverRepeats(service, ticket, now)) {
+  if (exceedsRepeatBudget(service, ticket, now)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::RetriesExhausted, "the budget of this gate",
                   spreadRetry(gate, LeastRetryAfter)));
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -86,7 +86,8 @@
          service.Serialized.contains(ticket.Fingerprint);
 }
 
-bool isOverRepeats(GateService &service, const Ticket &ticket, Instant now) {
+bool exceedsRepeatBudget(GateService &service, const Ticket &ticket,
+                         Instant now) {
   const ServicePolicy &policy = service.Policy;
   double allowance = double(policy.RetryAllowance) / std::max(service.Gates, 1);
   return ticket.IsRepeat && !service.Repeats.allowsRepeat(
--- a/src/libhickoryglade/gateadmission.h
+++ b/src/libhickoryglade/gateadmission.h
@@ -35,7 +35,8 @@
                       const Ticket &ticket, Instant now);
 
 /// True for a repeat beyond this gate's part of the fleet's bound.
-bool isOverRepeats(GateService &service, const Ticket &ticket, Instant now);
+bool exceedsRepeatBudget(GateService &service, const Ticket &ticket,
+                         Instant now);
 
 /// Asks the admission policy; nothing if the request may wait. Enters the wait
 /// that the queue promises into the ticket.
