--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -158,7 +158,7 @@
   GateActions actions;
   noticePause(gate, now);
   GateService &service = gate.Services[ticket.Service];
-  if (auto fault = offerFault(gate, ticket, now)) {
+  if (auto fault = offerError(gate, ticket, now)) {
     refuse(actions, ticket.AttemptId, std::move(*fault));
     return actions;
   }
@@ -207,7 +207,7 @@
   int slots = slotsForClass(gate, service, ticket, now);
   Ticket waiting = ticket;
   waiting.WaitingSince = now;
-  if (auto fault = admissionFault(gate, service, waiting, slots, now)) {
+  if (auto fault = admissionError(gate, service, waiting, slots, now)) {
     refuse(actions, ticket.AttemptId, std::move(*fault));
     return actions;
   }
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -94,7 +94,7 @@
                                 policy.RetryBudgetPercent, allowance, now);
 }
 
-std::optional<Error> admissionFault(Gate &gate, GateService &service,
+std::optional<Error> admissionError(Gate &gate, GateService &service,
                                     Ticket &ticket, int slots, Instant now) {
   const auto *admission =
       Registry<AdmissionPolicy>::instance().find(service.Policy.Admission);
@@ -116,7 +116,7 @@
                 spreadRetry(gate, answer.ExpectedWait));
 }
 
-std::optional<Error> offerFault(const Gate &gate, const Ticket &ticket,
+std::optional<Error> offerError(const Gate &gate, const Ticket &ticket,
                                 Instant now) {
   if (gate.IsDraining)
     return notRun(ErrorKind::ShuttingDown, "the node is leaving", Millis{0});
--- a/src/libhickoryglade/gateadmission.h
+++ b/src/libhickoryglade/gateadmission.h
@@ -40,11 +40,11 @@
 
 /// Asks the admission policy; nothing if the request may wait. Enters the wait
 /// that the queue promises into the ticket.
-std::optional<Error> admissionFault(Gate &gate, GateService &service,
+std::optional<Error> admissionError(Gate &gate, GateService &service,
                                     Ticket &ticket, int slots, Instant now);
 
 /// Reasons to refuse a request before any slot is looked for.
-std::optional<Error> offerFault(const Gate &gate, const Ticket &ticket,
+std::optional<Error> offerError(const Gate &gate, const Ticket &ticket,
                                 Instant now);
 
 } // namespace hickoryglade
