--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -181,7 +181,7 @@
   if (exceedsRepeatBudget(service, ticket, now)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::RetriesExhausted, "the budget of this gate",
-                  spreadRetry(gate, LeastRetryAfter)));
+                  jitteredRetryAfter(gate, LeastRetryAfter)));
     return actions;
   }
   bool isBusy =
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-Millis spreadRetry(Gate &gate, Micros wait) {
+Millis jitteredRetryAfter(Gate &gate, Micros wait) {
   Micros base = std::max(wait, LeastRetryAfter);
   auto spread = uniform(gate.Rng, std::uint64_t(base.count()) + 1);
   return toMillis(base + Micros(spread));
@@ -113,7 +113,7 @@
                 "expected wait " +
                     std::to_string(toMillis(answer.ExpectedWait).count()) +
                     " ms",
-                spreadRetry(gate, answer.ExpectedWait));
+                jitteredRetryAfter(gate, answer.ExpectedWait));
 }
 
 std::optional<Error> offerError(const Gate &gate, const Ticket &ticket,
--- a/src/libhickoryglade/gateadmission.h
+++ b/src/libhickoryglade/gateadmission.h
@@ -11,7 +11,7 @@
 constexpr Micros EmptyServiceRetry = std::chrono::seconds(1);
 
 /// Spreads callers so that they do not come back together.
-Millis spreadRetry(Gate &gate, Micros wait);
+Millis jitteredRetryAfter(Gate &gate, Micros wait);
 
 /// Tells the caller of an attempt that it will not run here.
 void refuse(GateActions &actions, const std::string &attempt, Error reason);
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -84,7 +84,7 @@
     if (ticket->Deadline < now + ticket->ExpectedCost) {
       refuse(actions, ticket->AttemptId,
              notRun(ErrorKind::Overloaded, "too late to finish in time",
-                    spreadRetry(gate, service.Policy.MaxWait)));
+                    jitteredRetryAfter(gate, service.Policy.MaxWait)));
       continue;
     }
     assign(gate, service, *endpoint, *ticket, now, actions);
