--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -181,7 +181,7 @@
   if (exceedsRepeatBudget(service, ticket, now)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::RetriesExhausted, "the budget of this gate",
-                  jitteredRetryAfter(gate, LeastRetryAfter)));
+                  jitteredRetryAfter(gate, MinRetryAfter)));
     return actions;
   }
   bool isBusy =
@@ -196,7 +196,7 @@
   if (isEveryEndpointOnTrial(gate, ticket.Service)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint is on trial",
-                  toMillis(EmptyServiceRetry)));
+                  toMillis(NoEndpointRetryAfter)));
     return actions;
   }
   if (ticket.OnlyIfFree) {
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -47,7 +47,7 @@
 } // namespace
 
 Millis jitteredRetryAfter(Gate &gate, Micros wait) {
-  Micros base = std::max(wait, LeastRetryAfter);
+  Micros base = std::max(wait, MinRetryAfter);
   auto spread = uniform(gate.Rng, std::uint64_t(base.count()) + 1);
   return toMillis(base + Micros(spread));
 }
@@ -122,7 +122,7 @@
     return notRun(ErrorKind::ShuttingDown, "the node is leaving", Millis{0});
   if (ticket.Deadline <= now)
     return notRun(ErrorKind::DeadlineExceeded, "arrived after its deadline",
-                  toMillis(LeastRetryAfter));
+                  toMillis(MinRetryAfter));
   if (gate.Ledger.stateOf(ticket.AttemptId) != StartState::Unseen)
     return notRun(ErrorKind::WrongGeneration, "the attempt is fenced",
                   Millis{0});
@@ -134,7 +134,7 @@
   int slots = slotsInRotation(gate, ticket.Service, now);
   if (slots == 0)
     return notRun(ErrorKind::NoEndpoint, "no endpoint at this gate",
-                  toMillis(EmptyServiceRetry));
+                  toMillis(NoEndpointRetryAfter));
   return std::nullopt;
 }
 
--- a/src/libhickoryglade/gateadmission.h
+++ b/src/libhickoryglade/gateadmission.h
@@ -5,10 +5,10 @@
 namespace hickoryglade {
 
 /// Least wait that a refused caller is told.
-constexpr Micros LeastRetryAfter = std::chrono::milliseconds(200);
+constexpr Micros MinRetryAfter = std::chrono::milliseconds(200);
 
 /// Wait that a caller is told while a service has no endpoint here.
-constexpr Micros EmptyServiceRetry = std::chrono::seconds(1);
+constexpr Micros NoEndpointRetryAfter = std::chrono::seconds(1);
 
 /// Spreads callers so that they do not come back together.
 Millis jitteredRetryAfter(Gate &gate, Micros wait);
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -143,7 +143,7 @@
     noteWait(service, ticket, now);
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::DeadlineExceeded, "no slot became free in time",
-                  toMillis(LeastRetryAfter)));
+                  toMillis(MinRetryAfter)));
   }
 }
 
@@ -154,7 +154,7 @@
   for (const Ticket &ticket : gate.Services[name].Queue.takeAll())
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::NoEndpoint, "no endpoint left at this gate",
-                  toMillis(EmptyServiceRetry)));
+                  toMillis(NoEndpointRetryAfter)));
 }
 
 void flushIfDoubtful(Gate &gate, const std::string &name,
