--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Time in which an endpoint that runs a crashing request is found crashed.
-constexpr Micros SettleTerm = std::chrono::milliseconds(100);
+constexpr Micros SettleDelay = std::chrono::milliseconds(100);
 
 /// Only work of the ticket's class stands in its way: short requests pass
 /// waiting long ones, long ones share the slots that they may hold.
@@ -81,7 +81,7 @@
   if (!isSerialized(gate, ticket, now))
     return false;
   auto [settle, isNew] =
-      service.SettleUntil.try_emplace(ticket.Fingerprint, now + SettleTerm);
+      service.SettleUntil.try_emplace(ticket.Fingerprint, now + SettleDelay);
   return now < settle->second ||
          service.Serialized.contains(ticket.Fingerprint);
 }
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// How long a granted slot waits for the body.
-constexpr Micros GrantTerm = std::chrono::milliseconds(250);
+constexpr Micros GrantTimeout = std::chrono::milliseconds(250);
 
 /// Time after an attempt's deadline during which late copies are recognized.
 constexpr Micros LedgerMargin = std::chrono::seconds(60);
@@ -118,7 +118,7 @@
   std::vector<std::string> lapsed;
   std::vector<std::string> late;
   for (const SlotHolder &holder : endpoint.Holders) {
-    if (!holder.IsStarted && now - holder.Since > GrantTerm)
+    if (!holder.IsStarted && now - holder.Since > GrantTimeout)
       lapsed.push_back(holder.Request.AttemptId);
     if (holder.IsStarted && holder.Request.Deadline <= now)
       late.push_back(holder.Request.AttemptId);
--- a/src/libhickoryglade/repeatbudget.cpp
+++ b/src/libhickoryglade/repeatbudget.cpp
@@ -5,11 +5,13 @@
 namespace {
 
 /// The window of 10 s over which operators bound repeats, in parts.
-constexpr Micros BucketTerm = std::chrono::milliseconds(500);
+constexpr Micros BucketDuration = std::chrono::milliseconds(500);
 
 constexpr double Percent = 100;
 
-std::int64_t indexOf(Instant at) { return at.time_since_epoch() / BucketTerm; }
+std::int64_t indexOf(Instant at) {
+  return at.time_since_epoch() / BucketDuration;
+}
 
 } // namespace
 
