--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -187,9 +187,10 @@
   inquiry.Scope = std::move(scope);
   if (ruleFor(View->Crashes, inquiry.Fingerprint, now()) ==
       QuarantineRule::Refused)
-    return makeError(
-        ErrorKind::Quarantined, fingerprintName(inquiry.Fingerprint),
-        toMillis(remainingTerm(View->Crashes, inquiry.Fingerprint, now())));
+    return makeError(ErrorKind::Quarantined,
+                     fingerprintName(inquiry.Fingerprint),
+                     toMillis(remainingQuarantine(View->Crashes,
+                                                  inquiry.Fingerprint, now())));
   return inquiry;
 }
 
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -130,7 +130,7 @@
       QuarantineRule::Refused)
     return notRun(
         ErrorKind::Quarantined, fingerprintName(ticket.Fingerprint),
-        toMillis(remainingTerm(gate.Crashes, ticket.Fingerprint, now)));
+        toMillis(remainingQuarantine(gate.Crashes, ticket.Fingerprint, now)));
   int slots = slotsInRotation(gate, ticket.Service, now);
   if (slots == 0)
     return notRun(ErrorKind::NoEndpoint, "no endpoint at this gate",
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -70,11 +70,11 @@
     noteWait(service, *ticket, now);
     if (ruleFor(gate.Crashes, ticket->Fingerprint, now, ticket->KnownCrashes) ==
         QuarantineRule::Refused) {
-      refuse(
-          actions, ticket->AttemptId,
-          notRun(
-              ErrorKind::Quarantined, fingerprintName(ticket->Fingerprint),
-              toMillis(remainingTerm(gate.Crashes, ticket->Fingerprint, now))));
+      refuse(actions, ticket->AttemptId,
+             notRun(ErrorKind::Quarantined,
+                    fingerprintName(ticket->Fingerprint),
+                    toMillis(remainingQuarantine(gate.Crashes,
+                                                 ticket->Fingerprint, now))));
       continue;
     }
     if (isAtWrongGate(gate, service, *ticket, now)) {
--- a/src/libhickoryglade/quarantine.cpp
+++ b/src/libhickoryglade/quarantine.cpp
@@ -58,8 +58,8 @@
                 [&](const auto &it) { return it.second.Expiry <= now; });
 }
 
-Micros remainingTerm(const Quarantine &quarantine, std::uint64_t fingerprint,
-                     Instant now) {
+Micros remainingQuarantine(const Quarantine &quarantine,
+                           std::uint64_t fingerprint, Instant now) {
   auto it = quarantine.Records.find(fingerprint);
   if (it == quarantine.Records.end() || it->second.Expiry <= now)
     return Micros{0};
--- a/src/libhickoryglade/quarantine.h
+++ b/src/libhickoryglade/quarantine.h
@@ -48,8 +48,8 @@
 void expireCrashes(Quarantine &quarantine, Instant now);
 
 /// Time until a content may run again.
-Micros remainingTerm(const Quarantine &quarantine, std::uint64_t fingerprint,
-                     Instant now);
+Micros remainingQuarantine(const Quarantine &quarantine,
+                           std::uint64_t fingerprint, Instant now);
 
 /// Form in which logs, reports and settings write a fingerprint.
 std::string fingerprintName(std::uint64_t fingerprint);
