--- a/src/libhickoryglade/fairqueue.cpp
+++ b/src/libhickoryglade/fairqueue.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// Floor of a ticket's cost, so that no workspace runs for free.
-constexpr Micros LeastCost{1'000};
+constexpr Micros MinCost{1'000};
 
 Micros costOf(const Ticket &ticket) {
-  return std::max(ticket.ExpectedCost, LeastCost);
+  return std::max(ticket.ExpectedCost, MinCost);
 }
 
 } // namespace
@@ -116,7 +116,7 @@
         if (it.first == workspace)
           return sum;
         Micros competing{static_cast<Micros::rep>(
-            (ownLevel + double(LeastCost.count())) * it.second.Share)};
+            (ownLevel + double(MinCost.count())) * it.second.Share)};
         return sum + std::min(it.second.Waiting[isLong], competing);
       });
 }
--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -14,7 +14,7 @@
 constexpr int ColdSlowdown = 2;
 
 /// Bounds the shift; the policy bounds the rest itself.
-constexpr int MostDoublings = 16;
+constexpr int MaxDoublings = 16;
 
 Micros overdueBy(const GateEndpoint &endpoint, const SlotHolder &holder,
                  const ServicePolicy &policy, Instant now) {
@@ -39,7 +39,7 @@
 /// an endpoint completes one request in four.
 constexpr double CompletionOdds = 1.4;
 
-constexpr std::size_t MostCompleted = 16;
+constexpr std::size_t MaxCompleted = 16;
 
 double hangOdds(const GateEndpoint &endpoint, Instant now) {
   double odds = 0;
@@ -68,7 +68,7 @@
 void noteCompletion(GateEndpoint &endpoint, Instant now) {
   endpoint.LastCompletion = now;
   endpoint.Completed.push_back(now);
-  if (endpoint.Completed.size() > MostCompleted)
+  if (endpoint.Completed.size() > MaxCompleted)
     endpoint.Completed.pop_front();
 }
 
@@ -113,7 +113,7 @@
     oldestStart = std::min(oldestStart, holder.Since);
     Micros overdue = overdueBy(endpoint, holder, policy, now);
     evidence.Overdue += overdue > Micros{0};
-    evidence.MostOverdue = std::max(evidence.MostOverdue, overdue);
+    evidence.MaxOverdue = std::max(evidence.MaxOverdue, overdue);
   }
   evidence.HangOdds = hangOdds(endpoint, now);
   if (evidence.Running > 0)
@@ -122,7 +122,7 @@
 }
 
 Micros restBeforeTrial(const ServicePolicy &policy, int relapses) {
-  Micros rest = policy.FirstRest * (1 << std::min(relapses, MostDoublings));
+  Micros rest = policy.FirstRest * (1 << std::min(relapses, MaxDoublings));
   return std::min<Micros>(rest, policy.MostRest);
 }
 
--- a/src/libhickoryglade/gateendpoint.h
+++ b/src/libhickoryglade/gateendpoint.h
@@ -68,7 +68,7 @@
 
 /// Share of failures above which a doubtful endpoint gets trials only, while
 /// there are others in good standing, and one answer does not clear it.
-constexpr double MostFailureShare = 0.5;
+constexpr double MaxFailureShare = 0.5;
 
 /// A request is overdue once it has taken this many times what entries have
 /// seen such requests take anywhere.
--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -40,7 +40,7 @@
     return;
   // Endpoints that fail most of their work answer some of it.
   bool isStillFailing = endpoint.State == Standing::Suspect &&
-                        endpoint.FailureShare > MostFailureShare;
+                        endpoint.FailureShare > MaxFailureShare;
   if (isStillFailing)
     return;
   endpoint.FailureShare = 0;
--- a/src/libhickoryglade/gaterules.cpp
+++ b/src/libhickoryglade/gaterules.cpp
@@ -52,7 +52,7 @@
   if (!isDoubtful || service.Gates <= 1)
     return false;
   bool isFailing = endpoint.State == Standing::Suspect &&
-                   endpoint.FailureShare > MostFailureShare;
+                   endpoint.FailureShare > MaxFailureShare;
   return !ticket.AcceptsDoubtful || (ticket.IsSpill && isFailing);
 }
 
--- a/src/libhickoryglade/healthpolicy.h
+++ b/src/libhickoryglade/healthpolicy.h
@@ -14,7 +14,7 @@
   /// such requests take anywhere in the fleet.
   int Overdue = 0;
   /// Greatest time by which a running request has passed its expected time.
-  Micros MostOverdue{0};
+  Micros MaxOverdue{0};
   Micros SinceCompletion{0};
   /// Log of how much likelier the running requests' silence is of an endpoint
   /// that hangs on most of its work than of one that is well.
--- a/src/libhickoryglade/waitforecast.cpp
+++ b/src/libhickoryglade/waitforecast.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// Shorter waits say nothing about the ratio.
-constexpr Micros LeastWait = std::chrono::milliseconds(10);
+constexpr Micros MinWait = std::chrono::milliseconds(10);
 
 /// Weight of the latest wait; most of the ratio is from the last ten.
 constexpr double LatestWeight = 0.2;
 
 /// Bounds the ratio, which grows without end while a queue stands still.
-constexpr double MostRatio = 50;
+constexpr double MaxRatio = 50;
 
 /// What was seen longer ago than this says nothing any more.
 constexpr Micros MaxRatioAge = std::chrono::seconds(2);
@@ -25,9 +25,9 @@
   if (now - ratio.At > MaxRatioAge)
     ratio.Value = 1;
   ratio.At = now;
-  double seen = double(std::max(waited, LeastWait).count()) /
-                double(std::max(promised, LeastWait).count());
-  ratio.Value += (std::min(seen, MostRatio) - ratio.Value) * LatestWeight;
+  double seen = double(std::max(waited, MinWait).count()) /
+                double(std::max(promised, MinWait).count());
+  ratio.Value += (std::min(seen, MaxRatio) - ratio.Value) * LatestWeight;
 }
 
 Micros WaitForecast::correct(int rank, Micros promised, Instant now) const {
--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t MostTickets = 4;
+constexpr std::size_t MaxTickets = 4;
 
 /// Refusals after which tickets wait at gates near and far alike.
 constexpr int RefusalsBeforeAll = 3;
@@ -78,9 +78,8 @@
     if (knownFree(candidates[best]) > 0)
       return {{best}, false, true, "free slot elsewhere"};
   }
-  Indexes targets = leastPressed(candidates, near, MostTickets / 2);
-  Indexes others =
-      leastPressed(candidates, place, MostTickets - targets.size());
+  Indexes targets = leastPressed(candidates, near, MaxTickets / 2);
+  Indexes others = leastPressed(candidates, place, MaxTickets - targets.size());
   targets.insert(targets.end(), others.begin(), others.end());
   return {targets, true, false, "tickets in two data centres"};
 }
@@ -104,7 +103,7 @@
   }
   bool isNearTried = question.RoomRefusals > 1;
   if (far.empty() || (!near.empty() && !isNearTried)) {
-    RoutePlan plan{leastPressed(candidates, near, MostTickets), true, false,
+    RoutePlan plan{leastPressed(candidates, near, MaxTickets), true, false,
                    "tickets near"};
     plan.IsWaitBounded = !far.empty();
     return plan;
--- a/src/plugins/peercomparison/peercomparison.cpp
+++ b/src/plugins/peercomparison/peercomparison.cpp
@@ -18,7 +18,7 @@
 /// running work being overdue or a silence of twice the allowed length.
 bool hasSecondWitness(const EndpointEvidence &it, const ServicePolicy &policy) {
   bool isAllOverdue = it.Overdue == it.Running && it.Overdue > 1;
-  return isAllOverdue || it.MostOverdue > policy.StallAfter;
+  return isAllOverdue || it.MaxOverdue > policy.StallAfter;
 }
 
 HealthAssessment assessByPeers(const EndpointEvidence &evidence,
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t MostTickets = 4;
+constexpr std::size_t MaxTickets = 4;
 
 /// Free slots that a gate must have by this entry's last knowledge before a
 /// request is sent without asking.
@@ -49,7 +49,7 @@
   std::ranges::stable_sort(among, {}, [&](std::size_t i) {
     return std::pair(pressure(candidates[i]), !candidates[i].IsNear);
   });
-  among.resize(std::min(among.size(), MostTickets));
+  among.resize(std::min(among.size(), MaxTickets));
   return {among, true, false, "tickets"};
 }
 
