--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -28,7 +28,7 @@
 /// Log of how much likelier it is of an endpoint that hangs on three quarters
 /// of its work that a request still runs, at a multiple of its expected time:
 /// run times of a class are spread by half, and one in 30 takes far longer.
-double hangOddsOf(double multiple) {
+double hangLogOddsOf(double multiple) {
   constexpr double leastMultiple = 0.55;
   constexpr double perMultiple = 1.4;
   constexpr double most = 3.2;
@@ -37,11 +37,11 @@
 
 /// By how much a completion speaks against a hang: the log of four, since such
 /// an endpoint completes one request in four.
-constexpr double CompletionOdds = 1.4;
+constexpr double CompletionLogOdds = 1.4;
 
 constexpr std::size_t MaxCompleted = 16;
 
-double hangOdds(const GateEndpoint &endpoint, Instant now) {
+double hangLogOdds(const GateEndpoint &endpoint, Instant now) {
   double odds = 0;
   Instant oldest = now;
   int cold = endpoint.Completions < WarmCompletions ? ColdSlowdown : 1;
@@ -49,13 +49,13 @@
     if (!it.IsStarted || it.Since < endpoint.EvidenceSince ||
         it.Request.ExpectedCost == Micros{0})
       continue;
-    odds += hangOddsOf(double((now - it.Since).count()) /
-                       double(it.Request.ExpectedCost.count() * cold));
+    odds += hangLogOddsOf(double((now - it.Since).count()) /
+                          double(it.Request.ExpectedCost.count() * cold));
     oldest = std::min(oldest, it.Since);
   }
   auto later = std::ranges::count_if(endpoint.Completed,
                                      [&](Instant it) { return it >= oldest; });
-  return odds - CompletionOdds * double(later);
+  return odds - CompletionLogOdds * double(later);
 }
 
 /// Multiple of its expected time after which a request of a hanging endpoint
@@ -115,7 +115,7 @@
     evidence.Overdue += overdue > Micros{0};
     evidence.MaxOverdue = std::max(evidence.MaxOverdue, overdue);
   }
-  evidence.HangOdds = hangOdds(endpoint, now);
+  evidence.HangLogOdds = hangLogOdds(endpoint, now);
   if (evidence.Running > 0)
     evidence.SinceCompletion = now - std::max(idleSince, oldestStart);
   return evidence;
--- a/src/libhickoryglade/gaterules.cpp
+++ b/src/libhickoryglade/gaterules.cpp
@@ -19,7 +19,7 @@
 /// Log of how much likelier the silence of an endpoint is of one that hangs,
 /// from which it gets no work that may run only once: two to one. It costs a
 /// message to ask the next.
-constexpr double MostSilentOdds = 0.7;
+constexpr double MaxSilentLogOdds = 0.7;
 
 } // namespace
 
@@ -74,7 +74,8 @@
                   ticket.IsIdempotent || ticket.AcceptsSilent;
   return !isExempt && std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
     return it.second.Facts.Service != ticket.Service ||
-           evidenceOf(it.second, service.Policy, now).HangOdds > MostSilentOdds;
+           evidenceOf(it.second, service.Policy, now).HangLogOdds >
+               MaxSilentLogOdds;
   });
 }
 
--- a/src/libhickoryglade/healthpolicy.h
+++ b/src/libhickoryglade/healthpolicy.h
@@ -18,7 +18,7 @@
   Micros SinceCompletion{0};
   /// Log of how much likelier the running requests' silence is of an endpoint
   /// that hangs on most of its work than of one that is well.
-  double HangOdds = 0;
+  double HangLogOdds = 0;
   int ConsecutiveFailures = 0;
   /// Refusals in a row though the endpoint had a slot free.
   int ConsecutiveSheds = 0;
--- a/src/plugins/completionodds/completionodds.cpp
+++ b/src/plugins/completionodds/completionodds.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Seven to one, as a log. A wrong doubt ends with the next completion.
-constexpr double OddsForDoubt = 2.0;
+constexpr double DoubtfulLogOdds = 2.0;
 
 HealthAssessment assessByOdds(const EndpointEvidence &evidence,
                               const ServicePolicy &policy) {
@@ -20,7 +20,7 @@
       Registry<HealthPolicy>::instance().find("peer_comparison");
   HealthAssessment assessment =
       peers ? peers->Assess(evidence, policy) : HealthAssessment{};
-  if (evidence.HangOdds < OddsForDoubt)
+  if (evidence.HangLogOdds < DoubtfulLogOdds)
     return assessment;
   if (assessment.Verdict == HealthVerdict::Healthy)
     assessment = {HealthVerdict::Doubtful, "hangs on running requests", false};
