--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -26,7 +26,7 @@
 /// How long the settling of crashing content is remembered.
 constexpr Micros SettleRetention = std::chrono::seconds(10);
 
-void noticePause(Gate &gate, Instant now) {
+void detectPause(Gate &gate, Instant now) {
   if (gate.TickDue && now - *gate.TickDue > PauseLimit)
     gate.HoldUntil = now + HoldAfterPause;
 }
@@ -156,7 +156,7 @@
 
 GateActions offer(Gate &gate, const Ticket &ticket, Instant now) {
   GateActions actions;
-  noticePause(gate, now);
+  detectPause(gate, now);
   GateService &service = gate.Services[ticket.Service];
   if (auto fault = offerError(gate, ticket, now)) {
     refuse(actions, ticket.AttemptId, std::move(*fault));
@@ -222,7 +222,7 @@
 
 GateActions claim(Gate &gate, const std::string &attempt, Instant now) {
   GateActions actions;
-  noticePause(gate, now);
+  detectPause(gate, now);
   auto held = gate.Held.find(attempt);
   if (held != gate.Held.end() && now >= gate.HoldUntil) {
     GateEndpoint &endpoint = gate.Endpoints.at(held->second);
@@ -330,7 +330,7 @@
 
 GateActions tick(Gate &gate, Instant now) {
   GateActions actions;
-  noticePause(gate, now);
+  detectPause(gate, now);
   gate.TickDue = now + TickPeriod;
   for (auto &[name, endpoint] : gate.Endpoints) {
     if (endpoint.State == Standing::Ejected && !isEjected(endpoint, now))
