--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -223,8 +223,8 @@
 GateActions claim(Gate &gate, const std::string &attempt, Instant now) {
   GateActions actions;
   detectPause(gate, now);
-  auto held = gate.Held.find(attempt);
-  if (held != gate.Held.end() && now >= gate.HoldUntil) {
+  auto held = gate.EndpointByAttempt.find(attempt);
+  if (held != gate.EndpointByAttempt.end() && now >= gate.HoldUntil) {
     GateEndpoint &endpoint = gate.Endpoints.at(held->second);
     auto holder = std::ranges::find_if(endpoint.Holders, [&](const auto &it) {
       return it.Request.AttemptId == attempt;
@@ -248,8 +248,8 @@
 }
 
 void keep(Gate &gate, const std::string &attempt) {
-  auto held = gate.Held.find(attempt);
-  if (held == gate.Held.end())
+  auto held = gate.EndpointByAttempt.find(attempt);
+  if (held == gate.EndpointByAttempt.end())
     return;
   for (SlotHolder &it : gate.Endpoints.at(held->second).Holders)
     if (it.Request.AttemptId == attempt)
@@ -261,8 +261,8 @@
   for (auto &[name, service] : gate.Services)
     if (service.Queue.remove(attempt))
       return actions;
-  auto held = gate.Held.find(attempt);
-  if (held == gate.Held.end())
+  auto held = gate.EndpointByAttempt.find(attempt);
+  if (held == gate.EndpointByAttempt.end())
     return actions;
   const GateEndpoint &endpoint = gate.Endpoints.at(held->second);
   bool isStarted = std::ranges::any_of(endpoint.Holders, [&](const auto &it) {
--- a/src/libhickoryglade/gate.h
+++ b/src/libhickoryglade/gate.h
@@ -95,7 +95,7 @@
   StartLedger Ledger;
   Quarantine Crashes;
   /// Endpoint of each attempt that holds a slot.
-  std::map<std::string, std::string> Held;
+  std::map<std::string, std::string> EndpointByAttempt;
   bool IsDraining = false;
   /// When the next tick is expected; one that is long overdue shows that the
   /// process was paused. Whoever ticks more seldom than usual moves it.
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -45,7 +45,7 @@
 void assign(Gate &gate, GateService &service, GateEndpoint &endpoint,
             const Ticket &ticket, Instant now, GateActions &actions) {
   endpoint.Holders.push_back({ticket, now, false});
-  gate.Held[ticket.AttemptId] = endpoint.Facts.Name;
+  gate.EndpointByAttempt[ticket.AttemptId] = endpoint.Facts.Name;
   if (isSerialized(gate, ticket, now))
     service.Serialized.insert(ticket.Fingerprint);
   if (ticket.AwaitsClaim)
@@ -93,11 +93,11 @@
 
 std::optional<SlotHolder> release(Gate &gate, const std::string &attempt,
                                   GateEndpoint *&endpoint) {
-  auto held = gate.Held.find(attempt);
-  if (held == gate.Held.end())
+  auto held = gate.EndpointByAttempt.find(attempt);
+  if (held == gate.EndpointByAttempt.end())
     return std::nullopt;
   auto it = gate.Endpoints.find(held->second);
-  gate.Held.erase(held);
+  gate.EndpointByAttempt.erase(held);
   if (it == gate.Endpoints.end())
     return std::nullopt;
   endpoint = &it->second;
--- a/tests/kernel/test_gate.cpp
+++ b/tests/kernel/test_gate.cpp
@@ -210,7 +210,7 @@
   complete(gate, "greedy0", AttemptOutcome::Answered, at(25));
   GateActions next =
       complete(gate, "greedy1", AttemptOutcome::Answered, at(25));
-  CHECK(gate.Held.contains("other"));
+  CHECK(gate.EndpointByAttempt.contains("other"));
 }
 
 TEST_CASE("long requests leave slots to short ones") {
@@ -221,7 +221,7 @@
     it.ExpectedCost = milliseconds(750);
     offer(gate, it, at(0));
   }
-  CHECK(gate.Held.size() == 2);
+  CHECK(gate.EndpointByAttempt.size() == 2);
   CHECK(count<StartAction>(offer(gate, ticket("short"), at(1))) == 1);
 }
 
@@ -242,9 +242,9 @@
   Gate gate = gateWith("e");
   announce(gate, endpoint("f"), at(0));
   offer(gate, ticket("1"), at(0));
-  std::string dead = gate.Held.at("1");
+  std::string dead = gate.EndpointByAttempt.at("1");
   complete(gate, "1", AttemptOutcome::Unreachable, at(1));
   CHECK(gate.Endpoints.at(dead).State == Standing::Suspect);
   offer(gate, ticket("2"), at(2));
-  CHECK(gate.Held.at("2") != dead);
+  CHECK(gate.EndpointByAttempt.at("2") != dead);
 }
--- a/tests/kernel/test_hang.cpp
+++ b/tests/kernel/test_hang.cpp
@@ -119,13 +119,13 @@
   for (int ms = 150; ms <= 4'000; ms += 50)
     for (const std::string &id : aborted(tick(gate, at(ms)))) {
       CHECK(id == "a");
-      if (gate.Held.contains(id))
+      if (gate.EndpointByAttempt.contains(id))
         std::ranges::move(complete(gate, id, AttemptOutcome::Failed, at(ms)),
                           std::back_inserter(actions));
     }
-  CHECK_FALSE(gate.Held.contains("a"));
-  CHECK(gate.Held.contains("b"));
-  CHECK(gate.Held.contains("last"));
+  CHECK_FALSE(gate.EndpointByAttempt.contains("a"));
+  CHECK(gate.EndpointByAttempt.contains("b"));
+  CHECK(gate.EndpointByAttempt.contains("last"));
 }
 
 // The load that this answers: lookups of a second whose callers allow six. By
@@ -187,7 +187,7 @@
       if (const auto *abort = std::get_if<AbortAction>(&it))
         CHECK(abort->Reason.Kind == ErrorKind::DeadlineExceeded);
   CHECK(standingOf(gate) != Standing::Healthy);
-  CHECK(gate.Held.contains("kept"));
+  CHECK(gate.EndpointByAttempt.contains("kept"));
 }
 
 TEST_CASE("an endpoint is tried although a request hangs from before") {
@@ -235,11 +235,11 @@
   it.AcceptsDoubtful = true;
   it.IsLastTry = true;
   offer(gate, it, at(100));
-  CHECK_FALSE(gate.Held.contains("last"));
+  CHECK_FALSE(gate.EndpointByAttempt.contains("last"));
   it.AttemptId = "first";
   it.IsLastTry = false;
   offer(gate, it, at(100));
-  CHECK(gate.Held.contains("first"));
+  CHECK(gate.EndpointByAttempt.contains("first"));
 }
 
 // The load that this answers: a service whose slots are filled by new requests
@@ -255,8 +255,8 @@
   call.Target = at(1'500);
   offer(gate, call, at(710));
   complete(gate, "running0", AttemptOutcome::Answered, at(800));
-  CHECK(gate.Held.contains("call"));
-  CHECK_FALSE(gate.Held.contains("new"));
+  CHECK(gate.EndpointByAttempt.contains("call"));
+  CHECK_FALSE(gate.EndpointByAttempt.contains("new"));
 }
 
 TEST_CASE("settings say how many refusals make an endpoint doubtful") {
