--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -312,7 +312,7 @@
   if (action.State == Standing::Suspect) {
     auto it = Kernel.Endpoints.find(action.Endpoint);
     if (it != Kernel.Endpoints.end())
-      Client.forget(it->second.Facts.Address);
+      Client.forget(it->second.Announced.Address);
   }
   publishEndpoints();
 }
@@ -347,7 +347,7 @@
   Instant start = now();
   Counters.observeStage(exchange->Request.Service, Stage::Queued,
                         start - exchange->ArrivedAt);
-  EndpointCall call{it->second.Facts.Address, std::move(request),
+  EndpointCall call{it->second.Announced.Address, std::move(request),
                     exchange->Request.IsIdempotent, exchange->Request.Deadline};
   EndpointResult result =
       co_await Client.exchange(std::move(call), exchange->Handle);
@@ -481,9 +481,9 @@
   for (const auto &[name, it] : Kernel.Endpoints)
     all.push_back(
         {{"name", name},
-         {"service", it.Facts.Service},
-         {"address", it.Facts.Address},
-         {"slots", it.Facts.Slots},
+         {"service", it.Announced.Service},
+         {"address", it.Announced.Address},
+         {"slots", it.Announced.Slots},
          {"busy", it.Holders.size()},
          {"standing", toString(it.State)},
          {"reason", it.StateReason},
@@ -496,7 +496,8 @@
   std::vector<EndpointRecord> records;
   for (const auto &[name, it] : Kernel.Endpoints) {
     bool isSilent = now() - it.LastHeard > it.AnnouncementLimit;
-    records.push_back({name, it.Facts.Service, it.Facts.Slots, it.Generation,
+    records.push_back({name, it.Announced.Service, it.Announced.Slots,
+                       it.Generation,
                        isSilent ? Standing::Draining : it.State});
   }
   std::vector<DepartedRecord> departed = departedRecords(Kernel);
--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -36,8 +36,8 @@
                       GateActions &actions) {
   std::vector<std::string> gone;
   for (const auto &[name, it] : gate.Endpoints)
-    if (name != facts.Name && it.Facts.Address == facts.Address &&
-        it.Facts.StartedAtMs < facts.StartedAtMs)
+    if (name != facts.Name && it.Announced.Address == facts.Address &&
+        it.Announced.StartedAtMs < facts.StartedAtMs)
       gone.push_back(name);
   for (const std::string &name : gone) {
     GateActions more = withdraw(gate, name, now);
@@ -78,11 +78,12 @@
     return true;
   for (const auto &[name, it] : gate.Endpoints) {
     bool isSameProcess =
-        name == facts.Name && it.Facts.Incarnation == facts.Incarnation;
-    if (isSameProcess && facts.Sequence < it.Facts.Sequence)
+        name == facts.Name && it.Announced.Incarnation == facts.Incarnation;
+    if (isSameProcess && facts.Sequence < it.Announced.Sequence)
       return true;
-    bool isSamePlace = name == facts.Name || it.Facts.Address == facts.Address;
-    if (isSamePlace && facts.StartedAtMs < it.Facts.StartedAtMs)
+    bool isSamePlace =
+        name == facts.Name || it.Announced.Address == facts.Address;
+    if (isSamePlace && facts.StartedAtMs < it.Announced.StartedAtMs)
       return true;
   }
   return false;
@@ -96,8 +97,9 @@
   auto [it, isNew] = gate.Endpoints.try_emplace(facts.Name);
   GateEndpoint &endpoint = it->second;
   endpoint.AnnouncementLimit = gate.AnnouncementLimit;
-  bool isRestart = !isNew && endpoint.Facts.Incarnation != facts.Incarnation;
-  endpoint.Facts = facts;
+  bool isRestart =
+      !isNew && endpoint.Announced.Incarnation != facts.Incarnation;
+  endpoint.Announced = facts;
   endpoint.LastHeard = now;
   if (isNew)
     actions.push_back(
@@ -118,8 +120,8 @@
   auto it = gate.Endpoints.find(endpoint);
   if (it == gate.Endpoints.end())
     return actions;
-  std::string service = it->second.Facts.Service;
-  gate.Departed[endpoint] = {it->second.Facts.StartedAtMs,
+  std::string service = it->second.Announced.Service;
+  gate.Departed[endpoint] = {it->second.Announced.StartedAtMs,
                              now + DepartedRetention};
   if (it->second.Holders.empty())
     gate.Endpoints.erase(it);
@@ -136,7 +138,7 @@
     all.push_back({name, it.StartedAtMs});
   for (const auto &[name, it] : gate.Endpoints)
     if (it.State == Standing::Draining && !gate.Departed.contains(name))
-      all.push_back({name, it.Facts.StartedAtMs});
+      all.push_back({name, it.Announced.StartedAtMs});
   return all;
 }
 
@@ -145,7 +147,7 @@
   GateActions actions;
   auto it = gate.Endpoints.find(departed.Name);
   bool isSameStart = it != gate.Endpoints.end() &&
-                     it->second.Facts.StartedAtMs <= departed.StartedAtMs;
+                     it->second.Announced.StartedAtMs <= departed.StartedAtMs;
   if (isSameStart)
     actions = withdraw(gate, departed.Name, now);
   DepartedEndpoint &known = gate.Departed[departed.Name];
@@ -230,7 +232,7 @@
       return it.Request.AttemptId == attempt;
     });
     bool isWaiting = holder != endpoint.Holders.end() && !holder->IsStarted;
-    const GateService &service = gate.Services[endpoint.Facts.Service];
+    const GateService &service = gate.Services[endpoint.Announced.Service];
     if (isWaiting && isAtWrongGate(gate, service, holder->Request, now)) {
       GateEndpoint *unused = nullptr;
       release(gate, attempt, unused);
@@ -273,7 +275,7 @@
         attempt, makeError(ErrorKind::Cancelled, "the caller went away")});
     return actions;
   }
-  std::string service = endpoint.Facts.Service;
+  std::string service = endpoint.Announced.Service;
   GateEndpoint *unused = nullptr;
   release(gate, attempt, unused);
   dispatch(gate, service, now, actions);
@@ -288,7 +290,7 @@
   gate.Ledger.noteFinished(attempt);
   if (!holder)
     return actions;
-  std::string service = endpoint->Facts.Service;
+  std::string service = endpoint->Announced.Service;
   noteOutcome(gate, *endpoint, *holder, outcome, now, actions);
   assessHealth(gate, *endpoint, now, actions);
   flushIfDoubtful(gate, service, actions);
@@ -324,7 +326,7 @@
   else
     setStanding(target, Standing::Suspect, "lease ended", now, actions);
   target.StateSince = since;
-  flushIfNoEndpoint(gate, target.Facts.Service, now, actions);
+  flushIfNoEndpoint(gate, target.Announced.Service, now, actions);
   return actions;
 }
 
@@ -373,7 +375,7 @@
 GateLoad loadOf(const Gate &gate, const std::string &service, Instant now) {
   GateLoad load;
   for (const auto &[name, endpoint] : gate.Endpoints) {
-    if (endpoint.Facts.Service != service)
+    if (endpoint.Announced.Service != service)
       continue;
     if (takesWork(endpoint, now) && !gate.IsDraining)
       load.FreeSlots += freeSlots(endpoint);
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -19,7 +19,7 @@
                      const Ticket &ticket, Instant now) {
   Micros running{0};
   for (const auto &[name, endpoint] : gate.Endpoints) {
-    if (endpoint.Facts.Service != ticket.Service)
+    if (endpoint.Announced.Service != ticket.Service)
       continue;
     for (const SlotHolder &holder : endpoint.Holders)
       if (holder.Request.IsLong == ticket.IsLong)
--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -89,7 +89,7 @@
 }
 
 int freeSlots(const GateEndpoint &endpoint) {
-  return std::max(endpoint.Facts.Slots - int(endpoint.Holders.size()), 0);
+  return std::max(endpoint.Announced.Slots - int(endpoint.Holders.size()), 0);
 }
 
 int longHeld(const GateEndpoint &endpoint, Instant now, Micros longAfter) {
--- a/src/libhickoryglade/gateendpoint.h
+++ b/src/libhickoryglade/gateendpoint.h
@@ -28,7 +28,7 @@
 
 /// An endpoint behind this gate and what the gate has seen of it.
 struct GateEndpoint {
-  Announcement Facts;
+  Announcement Announced;
   /// Counts the incarnations that this gate has seen; fences late results.
   std::int64_t Generation = 1;
   Instant LastHeard;
--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -27,8 +27,8 @@
   endpoint.RecoveredAt.reset();
   setStanding(endpoint, Standing::Suspect, reason, now, actions);
   if (isUnhealthy)
-    actions.push_back(
-        EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, true});
+    actions.push_back(EjectionAction{endpoint.Announced.Name,
+                                     endpoint.Announced.Service, true});
 }
 
 void recover(GateEndpoint &endpoint, Instant now, GateActions &actions) {
@@ -48,8 +48,8 @@
   endpoint.RecoveredAt = now;
   endpoint.EvidenceSince = now;
   setStanding(endpoint, Standing::Healthy, "completes work", now, actions);
-  actions.push_back(
-      EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, false});
+  actions.push_back(EjectionAction{endpoint.Announced.Name,
+                                   endpoint.Announced.Service, false});
 }
 
 void updateFailureShare(GateEndpoint &endpoint, bool isFailure) {
@@ -77,7 +77,7 @@
 
 void reportCrash(Gate &gate, const GateEndpoint &endpoint,
                  std::uint64_t fingerprint, Instant now, GateActions &actions) {
-  const std::string &service = endpoint.Facts.Service;
+  const std::string &service = endpoint.Announced.Service;
   noteCrash(gate.Crashes, fingerprint, gate.Node,
             now + gate.Services[service].Policy.QuarantineTerm);
   actions.push_back(CrashAction{fingerprint, service});
@@ -110,12 +110,13 @@
   endpoint.StateSince = now;
   endpoint.StateReason = reason;
   actions.push_back(
-      StandingAction{endpoint.Facts.Name, state, std::move(reason)});
+      StandingAction{endpoint.Announced.Name, state, std::move(reason)});
 }
 
 void assessHealth(Gate &gate, GateEndpoint &endpoint, Instant now,
                   GateActions &actions) {
-  const ServicePolicy &policy = gate.Services[endpoint.Facts.Service].Policy;
+  const ServicePolicy &policy =
+      gate.Services[endpoint.Announced.Service].Policy;
   const auto *health = Registry<HealthPolicy>::instance().find(policy.Health);
   if (!health)
     return;
@@ -132,13 +133,13 @@
   if (isNewlyDoubtful)
     markSuspect(endpoint, assessment.Reason, isUnhealthy, now, actions);
   else if (isUnhealthy && !isEjected(endpoint, now))
-    actions.push_back(
-        EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, true});
+    actions.push_back(EjectionAction{endpoint.Announced.Name,
+                                     endpoint.Announced.Service, true});
 }
 
 void considerTrial(const Gate &gate, GateEndpoint &endpoint, Instant now,
                    GateActions &actions) {
-  auto service = gate.Services.find(endpoint.Facts.Service);
+  auto service = gate.Services.find(endpoint.Announced.Service);
   static const ServicePolicy defaults;
   const ServicePolicy &policy =
       service == gate.Services.end() ? defaults : service->second.Policy;
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -34,7 +34,7 @@
   holder.Since = now;
   if (gate.Ledger.tryStart(ticket.AttemptId, forgetAt(ticket))) {
     gate.Services[ticket.Service].Repeats.note(ticket.IsRepeat, now);
-    actions.push_back(StartAction{ticket.AttemptId, endpoint.Facts.Name});
+    actions.push_back(StartAction{ticket.AttemptId, endpoint.Announced.Name});
     return;
   }
   refuse(
@@ -45,11 +45,11 @@
 void assign(Gate &gate, GateService &service, GateEndpoint &endpoint,
             const Ticket &ticket, Instant now, GateActions &actions) {
   endpoint.Holders.push_back({ticket, now, false});
-  gate.EndpointByAttempt[ticket.AttemptId] = endpoint.Facts.Name;
+  gate.EndpointByAttempt[ticket.AttemptId] = endpoint.Announced.Name;
   if (isSerialized(gate, ticket, now))
     service.Serialized.insert(ticket.Fingerprint);
   if (ticket.AwaitsClaim)
-    actions.push_back(GrantAction{ticket.AttemptId, endpoint.Facts.Name});
+    actions.push_back(GrantAction{ticket.AttemptId, endpoint.Announced.Name});
   else
     start(gate, endpoint, endpoint.Holders.back(), now, actions);
 }
--- a/src/libhickoryglade/gaterules.cpp
+++ b/src/libhickoryglade/gaterules.cpp
@@ -42,7 +42,7 @@
 }
 
 int longCap(const GateEndpoint &endpoint, const ServicePolicy &policy) {
-  return std::max(1, endpoint.Facts.Slots * policy.LongSlotsPercent / 100);
+  return std::max(1, endpoint.Announced.Slots * policy.LongSlotsPercent / 100);
 }
 
 bool isDoubtfulFor(const GateEndpoint &endpoint, const GateService &service,
@@ -73,7 +73,7 @@
   bool isExempt = !service.Policy.AvoidsSilent || service.Gates <= 1 ||
                   ticket.IsIdempotent || ticket.AcceptsSilent;
   return !isExempt && std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
-    return it.second.Facts.Service != ticket.Service ||
+    return it.second.Announced.Service != ticket.Service ||
            evidenceOf(it.second, service.Policy, now).HangLogOdds >
                MaxSilentLogOdds;
   });
@@ -86,7 +86,7 @@
     return std::pair(it.State == Standing::Suspect, -freeSlots(it));
   };
   for (auto &[name, endpoint] : gate.Endpoints) {
-    if (endpoint.Facts.Service != ticket.Service ||
+    if (endpoint.Announced.Service != ticket.Service ||
         !mayTake(endpoint, service, ticket, now))
       continue;
     if (!best || rank(endpoint) < rank(*best))
@@ -99,24 +99,25 @@
                   const Ticket &ticket, Instant now) {
   int slots = 0;
   for (const auto &[name, it] : gate.Endpoints)
-    if (it.Facts.Service == ticket.Service && it.State != Standing::Draining &&
-        isAnnounced(it, now) && !isEjected(it, now))
-      slots += ticket.IsLong ? longCap(it, service.Policy) : it.Facts.Slots;
+    if (it.Announced.Service == ticket.Service &&
+        it.State != Standing::Draining && isAnnounced(it, now) &&
+        !isEjected(it, now))
+      slots += ticket.IsLong ? longCap(it, service.Policy) : it.Announced.Slots;
   return slots;
 }
 
 int slotsInRotation(const Gate &gate, const std::string &service, Instant now) {
   int slots = 0;
   for (const auto &[name, it] : gate.Endpoints)
-    if (it.Facts.Service == service && it.State != Standing::Draining &&
+    if (it.Announced.Service == service && it.State != Standing::Draining &&
         isAnnounced(it, now) && !isEjected(it, now))
-      slots += it.Facts.Slots;
+      slots += it.Announced.Slots;
   return slots;
 }
 
 bool isEveryEndpointOnTrial(const Gate &gate, const std::string &service) {
   return std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
-    return it.second.Facts.Service != service ||
+    return it.second.Announced.Service != service ||
            it.second.State == Standing::Trial ||
            it.second.State == Standing::Draining;
   });
@@ -125,7 +126,7 @@
 bool isEveryEndpointDoubtful(const Gate &gate, const GateService &service,
                              const Ticket &ticket) {
   return std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
-    return it.second.Facts.Service != ticket.Service ||
+    return it.second.Announced.Service != ticket.Service ||
            it.second.State == Standing::Draining ||
            isDoubtfulFor(it.second, service, ticket);
   });
