--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -32,12 +32,13 @@
 }
 
 /// An endpoint at whose address another one has started is gone.
-void replaceAtAddress(Gate &gate, const Announcement &facts, Instant now,
+void replaceAtAddress(Gate &gate, const Announcement &announcement, Instant now,
                       GateActions &actions) {
   std::vector<std::string> gone;
   for (const auto &[name, it] : gate.Endpoints)
-    if (name != facts.Name && it.Announced.Address == facts.Address &&
-        it.Announced.StartedAtMs < facts.StartedAtMs)
+    if (name != announcement.Name &&
+        it.Announced.Address == announcement.Address &&
+        it.Announced.StartedAtMs < announcement.StartedAtMs)
       gone.push_back(name);
   for (const std::string &name : gone) {
     GateActions more = withdraw(gate, name, now);
@@ -71,47 +72,48 @@
   return "unknown";
 }
 
-bool isOutdated(const Gate &gate, const Announcement &facts) {
-  auto departed = gate.Departed.find(facts.Name);
+bool isOutdated(const Gate &gate, const Announcement &announcement) {
+  auto departed = gate.Departed.find(announcement.Name);
   if (departed != gate.Departed.end() && departed->second.StartedAtMs > 0 &&
-      facts.StartedAtMs <= departed->second.StartedAtMs)
+      announcement.StartedAtMs <= departed->second.StartedAtMs)
     return true;
   for (const auto &[name, it] : gate.Endpoints) {
-    bool isSameProcess =
-        name == facts.Name && it.Announced.Incarnation == facts.Incarnation;
-    if (isSameProcess && facts.Sequence < it.Announced.Sequence)
+    bool isSameProcess = name == announcement.Name &&
+                         it.Announced.Incarnation == announcement.Incarnation;
+    if (isSameProcess && announcement.Sequence < it.Announced.Sequence)
       return true;
-    bool isSamePlace =
-        name == facts.Name || it.Announced.Address == facts.Address;
-    if (isSamePlace && facts.StartedAtMs < it.Announced.StartedAtMs)
+    bool isSamePlace = name == announcement.Name ||
+                       it.Announced.Address == announcement.Address;
+    if (isSamePlace && announcement.StartedAtMs < it.Announced.StartedAtMs)
       return true;
   }
   return false;
 }
 
-GateActions announce(Gate &gate, const Announcement &facts, Instant now) {
+GateActions announce(Gate &gate, const Announcement &announcement,
+                     Instant now) {
   GateActions actions;
-  if (isOutdated(gate, facts))
+  if (isOutdated(gate, announcement))
     return actions;
-  replaceAtAddress(gate, facts, now, actions);
-  auto [it, isNew] = gate.Endpoints.try_emplace(facts.Name);
+  replaceAtAddress(gate, announcement, now, actions);
+  auto [it, isNew] = gate.Endpoints.try_emplace(announcement.Name);
   GateEndpoint &endpoint = it->second;
   endpoint.AnnouncementLimit = gate.AnnouncementLimit;
   bool isRestart =
-      !isNew && endpoint.Announced.Incarnation != facts.Incarnation;
-  endpoint.Announced = facts;
+      !isNew && endpoint.Announced.Incarnation != announcement.Incarnation;
+  endpoint.Announced = announcement;
   endpoint.LastHeard = now;
   if (isNew)
     actions.push_back(
-        StandingAction{facts.Name, Standing::Healthy, "announced"});
+        StandingAction{announcement.Name, Standing::Healthy, "announced"});
   if (isRestart)
     replaceIncarnation(gate, endpoint, actions, now);
-  if (facts.IsDraining)
+  if (announcement.IsDraining)
     setStanding(endpoint, Standing::Draining, "announced", now, actions);
   else if (endpoint.State == Standing::Draining)
     setStanding(endpoint, Standing::Healthy, "announced", now, actions);
-  dispatch(gate, facts.Service, now, actions);
-  flushIfNoEndpoint(gate, facts.Service, now, actions);
+  dispatch(gate, announcement.Service, now, actions);
+  flushIfNoEndpoint(gate, announcement.Service, now, actions);
   return actions;
 }
 
--- a/src/libhickoryglade/gate.h
+++ b/src/libhickoryglade/gate.h
@@ -108,10 +108,10 @@
 /// True for an announcement that is older than what the gate knows: of an
 /// endpoint that has left, of an earlier process, or sent before one already
 /// taken.
-bool isOutdated(const Gate &gate, const Announcement &facts);
+bool isOutdated(const Gate &gate, const Announcement &announcement);
 
 /// Takes or renews an announcement; outdated ones change nothing.
-GateActions announce(Gate &gate, const Announcement &facts, Instant now);
+GateActions announce(Gate &gate, const Announcement &announcement, Instant now);
 
 /// Forgets an endpoint that has left; what it runs may finish.
 GateActions withdraw(Gate &gate, const std::string &endpoint, Instant now);
