--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -488,14 +488,14 @@
          {"standing", toString(it.State)},
          {"reason", it.StateReason},
          {"for_ms", toMillis(now() - it.StateSince).count()},
-         {"announced_ms_ago", toMillis(now() - it.LastHeard).count()}});
+         {"announced_ms_ago", toMillis(now() - it.LastAnnounced).count()}});
   return all;
 }
 
 void GateService::publishEndpoints() {
   std::vector<EndpointRecord> records;
   for (const auto &[name, it] : Kernel.Endpoints) {
-    bool isSilent = now() - it.LastHeard > it.AnnouncementLimit;
+    bool isSilent = now() - it.LastAnnounced > it.AnnouncementLimit;
     records.push_back({name, it.Announced.Service, it.Announced.Slots,
                        it.Generation,
                        isSilent ? Standing::Draining : it.State});
--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -102,7 +102,7 @@
   bool isRestart =
       !isNew && endpoint.Announced.Incarnation != announcement.Incarnation;
   endpoint.Announced = announcement;
-  endpoint.LastHeard = now;
+  endpoint.LastAnnounced = now;
   if (isNew)
     actions.push_back(
         StandingAction{announcement.Name, Standing::Healthy, "announced"});
@@ -348,7 +348,7 @@
   }
   std::erase_if(gate.Endpoints, [&](const auto &it) {
     return it.second.Holders.empty() &&
-           now - it.second.LastHeard > ForgetSilentAfter;
+           now - it.second.LastAnnounced > ForgetSilentAfter;
   });
   for (auto &[name, service] : gate.Services) {
     std::erase_if(service.SettleUntil, [&](const auto &it) {
--- a/src/libhickoryglade/gateendpoint.h
+++ b/src/libhickoryglade/gateendpoint.h
@@ -31,7 +31,7 @@
   Announcement Announced;
   /// Counts the incarnations that this gate has seen; fences late results.
   std::int64_t Generation = 1;
-  Instant LastHeard;
+  Instant LastAnnounced;
   /// Silence after which the endpoint is taken for gone.
   Micros AnnouncementLimit = std::chrono::milliseconds(1'900);
   Standing State = Standing::Healthy;
--- a/src/libhickoryglade/gaterules.cpp
+++ b/src/libhickoryglade/gaterules.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 bool isAnnounced(const GateEndpoint &endpoint, Instant now) {
-  return now - endpoint.LastHeard <= endpoint.AnnouncementLimit;
+  return now - endpoint.LastAnnounced <= endpoint.AnnouncementLimit;
 }
 
 bool isEjected(const GateEndpoint &endpoint, Instant now) {
