--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -101,7 +101,7 @@
   if (!admission)
     return std::nullopt;
   Micros ahead = slotTimeAhead(gate, service, ticket, now);
-  ticket.PromisedWait = ahead / std::max(slots, 1);
+  ticket.EstimatedWait = ahead / std::max(slots, 1);
   Micros maxWait = longestWait(service.Policy, ticket, now);
   AdmissionAnswer answer = admission->Admit(
       {service.Queue.size(), std::size_t(service.Policy.QueueLimit), slots,
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -17,7 +17,7 @@
 
 /// Waits count whether they ended with a slot or in vain.
 void noteWait(GateService &service, const Ticket &ticket, Instant now) {
-  service.Waits.note(ticket.Priority, ticket.PromisedWait,
+  service.Waits.note(ticket.Priority, ticket.EstimatedWait,
                      now - ticket.WaitingSince, now);
 }
 
--- a/src/libhickoryglade/ticket.h
+++ b/src/libhickoryglade/ticket.h
@@ -53,7 +53,7 @@
 
   /// Set by the gate when it lets the request wait.
   Instant WaitingSince;
-  Micros PromisedWait{0};
+  Micros EstimatedWait{0};
 
   bool operator==(const Ticket &) const = default;
 };
