--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -17,8 +17,8 @@
 
 /// Waits count whether they ended with a slot or in vain.
 void noteWait(GateService &service, const Ticket &ticket, Instant now) {
-  service.Waits.note(ticket.Priority, ticket.EstimatedWait,
-                     now - ticket.WaitingSince, now);
+  service.Waits.record(ticket.Priority, ticket.EstimatedWait,
+                       now - ticket.WaitingSince, now);
 }
 
 } // namespace
@@ -33,7 +33,7 @@
   holder.IsStarted = true;
   holder.Since = now;
   if (gate.Ledger.tryStart(ticket.AttemptId, forgetAt(ticket))) {
-    gate.Services[ticket.Service].Repeats.note(ticket.IsRepeat, now);
+    gate.Services[ticket.Service].Repeats.record(ticket.IsRepeat, now);
     actions.push_back(StartAction{ticket.AttemptId, endpoint.Announced.Name});
     return;
   }
--- a/src/libhickoryglade/repeatbudget.cpp
+++ b/src/libhickoryglade/repeatbudget.cpp
@@ -23,7 +23,7 @@
   return bucket;
 }
 
-void RepeatBudget::note(bool isRepeat, Instant now) {
+void RepeatBudget::record(bool isRepeat, Instant now) {
   Bucket &bucket = bucketAt(now);
   ++(isRepeat ? bucket.Repeats : bucket.Firsts);
 }
--- a/src/libhickoryglade/repeatbudget.h
+++ b/src/libhickoryglade/repeatbudget.h
@@ -12,7 +12,7 @@
 class RepeatBudget {
 public:
   /// A request was sent to an endpoint, for the first time or again.
-  void note(bool isRepeat, Instant now);
+  void record(bool isRepeat, Instant now);
 
   /// True if one more repeat stays within a share of the first arrivals and a
   /// fixed allowance.
--- a/src/libhickoryglade/waitforecast.cpp
+++ b/src/libhickoryglade/waitforecast.cpp
@@ -20,22 +20,23 @@
 
 } // namespace
 
-void WaitForecast::note(int rank, Micros promised, Micros waited, Instant now) {
+void WaitForecast::record(int rank, Micros estimated, Micros waited,
+                          Instant now) {
   Ratio &ratio = Ratios[rank];
   if (now - ratio.At > MaxRatioAge)
     ratio.Value = 1;
   ratio.At = now;
   double seen = double(std::max(waited, MinWait).count()) /
-                double(std::max(promised, MinWait).count());
+                double(std::max(estimated, MinWait).count());
   ratio.Value += (std::min(seen, MaxRatio) - ratio.Value) * LatestWeight;
 }
 
-Micros WaitForecast::correct(int rank, Micros promised, Instant now) const {
+Micros WaitForecast::correct(int rank, Micros estimated, Instant now) const {
   auto it = Ratios.find(rank);
   if (it == Ratios.end() || now - it->second.At > MaxRatioAge)
-    return promised;
+    return estimated;
   return Micros(
-      Micros::rep(double(promised.count()) * std::max(it->second.Value, 1.0)));
+      Micros::rep(double(estimated.count()) * std::max(it->second.Value, 1.0)));
 }
 
 } // namespace hickoryglade
--- a/src/libhickoryglade/waitforecast.h
+++ b/src/libhickoryglade/waitforecast.h
@@ -12,9 +12,9 @@
 class WaitForecast {
 public:
   /// A request of a rank has left the queue after this time.
-  void note(int rank, Micros promised, Micros waited, Instant now);
+  void record(int rank, Micros estimated, Micros waited, Instant now);
 
-  Micros correct(int rank, Micros promised, Instant now) const;
+  Micros correct(int rank, Micros estimated, Instant now) const;
 
 private:
   struct Ratio {
