--- a/src/libhickoryglade/admissionpolicy.h
+++ b/src/libhickoryglade/admissionpolicy.h
@@ -7,7 +7,7 @@
 namespace hickoryglade {
 
 /// State of a gate's queue when a request arrives.
-struct AdmissionQuestion {
+struct AdmissionInput {
   std::size_t Queued = 0;
   std::size_t QueueLimit = 0;
   /// Slots of the service's endpoints that take work at this gate.
@@ -23,17 +23,17 @@
   Micros TargetLatency{0};
 };
 
-struct AdmissionAnswer {
+struct AdmissionDecision {
   bool IsAdmitted = true;
   Micros ExpectedWait{0};
 
-  bool operator==(const AdmissionAnswer &) const = default;
+  bool operator==(const AdmissionDecision &) const = default;
 };
 
 /// Decides whether a request may wait. Registered under the names that
 /// settings use.
 struct AdmissionPolicy {
-  AdmissionAnswer (*Admit)(const AdmissionQuestion &question);
+  AdmissionDecision (*Admit)(const AdmissionInput &input);
 };
 
 } // namespace hickoryglade
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -103,17 +103,17 @@
   Micros ahead = slotTimeAhead(gate, service, ticket, now);
   ticket.EstimatedWait = ahead / std::max(slots, 1);
   Micros maxWait = longestWait(service.Policy, ticket, now);
-  AdmissionAnswer answer = admission->Admit(
+  AdmissionDecision decision = admission->Admit(
       {service.Queue.size(), std::size_t(service.Policy.QueueLimit), slots,
        service.Waits.correct(ticket.Priority, ahead, now), ticket.ExpectedCost,
        ticket.Deadline - now, maxWait, service.Policy.TargetLatency});
-  if (answer.IsAdmitted)
+  if (decision.IsAdmitted)
     return std::nullopt;
   return notRun(ErrorKind::Overloaded,
                 "expected wait " +
-                    std::to_string(toMillis(answer.ExpectedWait).count()) +
+                    std::to_string(toMillis(decision.ExpectedWait).count()) +
                     " ms",
-                jitteredRetryAfter(gate, answer.ExpectedWait));
+                jitteredRetryAfter(gate, decision.ExpectedWait));
 }
 
 std::optional<Error> offerError(const Gate &gate, const Ticket &ticket,
--- a/src/plugins/deadlineadmission/deadlineadmission.cpp
+++ b/src/plugins/deadlineadmission/deadlineadmission.cpp
@@ -13,12 +13,11 @@
 /// Margin on the expected wait, in percent, for the spread of run times.
 constexpr int WaitMarginPercent = 125;
 
-AdmissionAnswer admitByDeadline(const AdmissionQuestion &question) {
-  Micros wait = question.CostAhead / std::max(question.Slots, 1);
-  bool isInTime =
-      wait * WaitMarginPercent / 100 + question.Cost <= question.TimeLeft;
-  bool hasRoom = question.Queued < question.QueueLimit;
-  return {isInTime && hasRoom && wait <= question.MaxWait, wait};
+AdmissionDecision admitByDeadline(const AdmissionInput &input) {
+  Micros wait = input.CostAhead / std::max(input.Slots, 1);
+  bool isInTime = wait * WaitMarginPercent / 100 + input.Cost <= input.TimeLeft;
+  bool hasRoom = input.Queued < input.QueueLimit;
+  return {isInTime && hasRoom && wait <= input.MaxWait, wait};
 }
 
 const Registrar<AdmissionPolicy> Registered("deadline", {admitByDeadline});
--- a/src/plugins/queuelimitadmission/queuelimitadmission.cpp
+++ b/src/plugins/queuelimitadmission/queuelimitadmission.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-AdmissionAnswer admitByLength(const AdmissionQuestion &question) {
-  Micros wait = question.CostAhead / std::max(question.Slots, 1);
-  return {question.Queued < question.QueueLimit, wait};
+AdmissionDecision admitByLength(const AdmissionInput &input) {
+  Micros wait = input.CostAhead / std::max(input.Slots, 1);
+  return {input.Queued < input.QueueLimit, wait};
 }
 
 const Registrar<AdmissionPolicy> Registered("queue_limit", {admitByLength});
--- a/src/plugins/targetadmission/targetadmission.cpp
+++ b/src/plugins/targetadmission/targetadmission.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-AdmissionAnswer admitByTarget(const AdmissionQuestion &question) {
-  Micros wait = question.CostAhead / std::max(question.Slots, 1);
-  Micros limit = std::min(question.TargetLatency, question.TimeLeft);
-  bool hasRoom = question.Queued < question.QueueLimit;
-  return {hasRoom && wait + question.Cost <= limit, wait};
+AdmissionDecision admitByTarget(const AdmissionInput &input) {
+  Micros wait = input.CostAhead / std::max(input.Slots, 1);
+  Micros limit = std::min(input.TargetLatency, input.TimeLeft);
+  bool hasRoom = input.Queued < input.QueueLimit;
+  return {hasRoom && wait + input.Cost <= limit, wait};
 }
 
 const Registrar<AdmissionPolicy> Registered("target", {admitByTarget});
