--- a/src/libhickoryglade/fairqueue.cpp
+++ b/src/libhickoryglade/fairqueue.cpp
@@ -18,34 +18,34 @@
 
 void FairQueue::push(Ticket ticket, int share, QueueOrder order) {
   double level = floorService();
-  auto [it, isNew] = Lanes.try_emplace(ticket.Workspace);
-  Lane &lane = it->second;
+  auto [it, isNew] = Flows.try_emplace(ticket.Workspace);
+  Flow &flow = it->second;
   if (isNew)
-    lane.Service = level;
-  lane.Share = std::max(share, 1);
-  lane.Waiting[ticket.IsLong] += costOf(ticket);
-  auto place = std::ranges::find_if(lane.Tickets, [&](const Ticket &other) {
+    flow.VirtualTime = level;
+  flow.Share = std::max(share, 1);
+  flow.PendingCost[ticket.IsLong] += costOf(ticket);
+  auto place = std::ranges::find_if(flow.Tickets, [&](const Ticket &other) {
     return overtakes(order, ticket, other);
   });
-  lane.Tickets.insert(place, std::move(ticket));
+  flow.Tickets.insert(place, std::move(ticket));
   ++Count;
 }
 
 std::optional<Ticket>
 FairQueue::pop(const std::function<bool(const Ticket &)> &mayRun) {
-  std::vector<std::pair<double, Lane *>> order;
-  for (auto &[workspace, lane] : Lanes)
-    order.emplace_back(lane.Service, &lane);
+  std::vector<std::pair<double, Flow *>> order;
+  for (auto &[workspace, flow] : Flows)
+    order.emplace_back(flow.VirtualTime, &flow);
   std::ranges::sort(order);
-  for (auto &[service, lane] : order) {
-    auto it = std::ranges::find_if(lane->Tickets, mayRun);
-    if (it == lane->Tickets.end())
+  for (auto &[virtualTime, flow] : order) {
+    auto it = std::ranges::find_if(flow->Tickets, mayRun);
+    if (it == flow->Tickets.end())
       continue;
     Ticket ticket = std::move(*it);
-    lane->Tickets.erase(it);
-    lane->Waiting[ticket.IsLong] -= costOf(ticket);
-    lane->Service += double(costOf(ticket).count()) / lane->Share;
-    LastService = std::max(LastService, service);
+    flow->Tickets.erase(it);
+    flow->PendingCost[ticket.IsLong] -= costOf(ticket);
+    flow->VirtualTime += double(costOf(ticket).count()) / flow->Share;
+    LastService = std::max(LastService, virtualTime);
     --Count;
     removeEmpty(ticket.Workspace);
     return ticket;
@@ -54,12 +54,12 @@
 }
 
 bool FairQueue::remove(const std::string &attempt) {
-  for (auto &[workspace, lane] : Lanes) {
-    auto it = std::ranges::find(lane.Tickets, attempt, &Ticket::AttemptId);
-    if (it == lane.Tickets.end())
+  for (auto &[workspace, flow] : Flows) {
+    auto it = std::ranges::find(flow.Tickets, attempt, &Ticket::AttemptId);
+    if (it == flow.Tickets.end())
       continue;
-    lane.Waiting[it->IsLong] -= costOf(*it);
-    lane.Tickets.erase(it);
+    flow.PendingCost[it->IsLong] -= costOf(*it);
+    flow.Tickets.erase(it);
     --Count;
     removeEmpty(std::string(workspace));
     return true;
@@ -75,27 +75,27 @@
 std::vector<Ticket>
 FairQueue::takeWhere(const std::function<bool(const Ticket &)> &isTaken) {
   std::vector<Ticket> taken;
-  for (auto &[workspace, lane] : Lanes) {
+  for (auto &[workspace, flow] : Flows) {
     auto tail =
-        std::stable_partition(lane.Tickets.begin(), lane.Tickets.end(),
+        std::stable_partition(flow.Tickets.begin(), flow.Tickets.end(),
                               [&](const Ticket &it) { return !isTaken(it); });
-    for (auto it = tail; it != lane.Tickets.end(); ++it) {
-      lane.Waiting[it->IsLong] -= costOf(*it);
+    for (auto it = tail; it != flow.Tickets.end(); ++it) {
+      flow.PendingCost[it->IsLong] -= costOf(*it);
       taken.push_back(std::move(*it));
     }
-    lane.Tickets.erase(tail, lane.Tickets.end());
+    flow.Tickets.erase(tail, flow.Tickets.end());
   }
   Count -= taken.size();
-  std::erase_if(Lanes,
+  std::erase_if(Flows,
                 [](const auto &it) { return it.second.Tickets.empty(); });
   return taken;
 }
 
 std::vector<Ticket> FairQueue::takeAll() {
   std::vector<Ticket> all;
-  for (auto &[workspace, lane] : Lanes)
-    std::ranges::move(lane.Tickets, std::back_inserter(all));
-  Lanes.clear();
+  for (auto &[workspace, flow] : Flows)
+    std::ranges::move(flow.Tickets, std::back_inserter(all));
+  Flows.clear();
   Count = 0;
   return all;
 }
@@ -104,42 +104,42 @@
                             QueueOrder order) const {
   const std::string &workspace = ticket.Workspace;
   bool isLong = ticket.IsLong;
-  auto own = Lanes.find(workspace);
+  auto own = Flows.find(workspace);
   Micros ownCost{0};
-  if (own != Lanes.end())
+  if (own != Flows.end())
     for (const Ticket &it : own->second.Tickets)
       if (it.IsLong == isLong && !overtakes(order, ticket, it))
         ownCost += costOf(it);
   double ownLevel = double(ownCost.count()) / std::max(share, 1);
   return std::accumulate(
-      Lanes.begin(), Lanes.end(), ownCost, [&](Micros sum, const auto &it) {
+      Flows.begin(), Flows.end(), ownCost, [&](Micros sum, const auto &it) {
         if (it.first == workspace)
           return sum;
         Micros competing{static_cast<Micros::rep>(
             (ownLevel + double(MinCost.count())) * it.second.Share)};
-        return sum + std::min(it.second.Waiting[isLong], competing);
+        return sum + std::min(it.second.PendingCost[isLong], competing);
       });
 }
 
 bool FairQueue::hasShort() const {
-  return std::ranges::any_of(Lanes, [](const auto &it) {
+  return std::ranges::any_of(Flows, [](const auto &it) {
     return std::ranges::any_of(it.second.Tickets,
                                [](const Ticket &t) { return !t.IsLong; });
   });
 }
 
 double FairQueue::floorService() const {
-  if (Lanes.empty())
+  if (Flows.empty())
     return LastService;
   auto it = std::ranges::min_element(
-      Lanes, {}, [](const auto &lane) { return lane.second.Service; });
-  return std::max(LastService, it->second.Service);
+      Flows, {}, [](const auto &flow) { return flow.second.VirtualTime; });
+  return std::max(LastService, it->second.VirtualTime);
 }
 
 void FairQueue::removeEmpty(const std::string &workspace) {
-  auto it = Lanes.find(workspace);
-  if (it != Lanes.end() && it->second.Tickets.empty())
-    Lanes.erase(it);
+  auto it = Flows.find(workspace);
+  if (it != Flows.end() && it->second.Tickets.empty())
+    Flows.erase(it);
 }
 
 } // namespace hickoryglade
--- a/src/libhickoryglade/fairqueue.h
+++ b/src/libhickoryglade/fairqueue.h
@@ -41,20 +41,20 @@
   bool hasShort() const;
 
 private:
-  struct Lane {
+  struct Flow {
     std::deque<Ticket> Tickets;
     int Share = 1;
     /// Slot time received per share, in microseconds.
-    double Service = 0;
+    double VirtualTime = 0;
     /// Slot time that short and long tickets wait for.
-    std::array<Micros, 2> Waiting{};
+    std::array<Micros, 2> PendingCost{};
   };
 
   /// A workspace that was idle starts level with the busy ones.
   double floorService() const;
   void removeEmpty(const std::string &workspace);
 
-  std::map<std::string, Lane> Lanes;
+  std::map<std::string, Flow> Flows;
   std::size_t Count = 0;
   double LastService = 0;
 };
