--- a/src/libhickoryglade/fairqueue.cpp
+++ b/src/libhickoryglade/fairqueue.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 void FairQueue::push(Ticket ticket, int share, QueueOrder order) {
-  double level = floorService();
+  double level = startVirtualTime();
   auto [it, isNew] = Flows.try_emplace(ticket.Workspace);
   Flow &flow = it->second;
   if (isNew)
@@ -45,7 +45,7 @@
     flow->Tickets.erase(it);
     flow->PendingCost[ticket.IsLong] -= costOf(ticket);
     flow->VirtualTime += double(costOf(ticket).count()) / flow->Share;
-    LastService = std::max(LastService, virtualTime);
+    LastVirtualTime = std::max(LastVirtualTime, virtualTime);
     --Count;
     removeEmpty(ticket.Workspace);
     return ticket;
@@ -128,12 +128,12 @@
   });
 }
 
-double FairQueue::floorService() const {
+double FairQueue::startVirtualTime() const {
   if (Flows.empty())
-    return LastService;
+    return LastVirtualTime;
   auto it = std::ranges::min_element(
       Flows, {}, [](const auto &flow) { return flow.second.VirtualTime; });
-  return std::max(LastService, it->second.VirtualTime);
+  return std::max(LastVirtualTime, it->second.VirtualTime);
 }
 
 void FairQueue::removeEmpty(const std::string &workspace) {
--- a/src/libhickoryglade/fairqueue.h
+++ b/src/libhickoryglade/fairqueue.h
@@ -51,12 +51,12 @@
   };
 
   /// A workspace that was idle starts level with the busy ones.
-  double floorService() const;
+  double startVirtualTime() const;
   void removeEmpty(const std::string &workspace);
 
   std::map<std::string, Flow> Flows;
   std::size_t Count = 0;
-  double LastService = 0;
+  double LastVirtualTime = 0;
 };
 
 } // namespace hickoryglade
