--- a/src/libhickoryglade/startledger.cpp
+++ b/src/libhickoryglade/startledger.cpp
@@ -5,8 +5,8 @@
 namespace hickoryglade {
 
 StartState StartLedger::stateOf(const std::string &attempt) const {
-  auto it = Entries.find(attempt);
-  return it == Entries.end() ? StartState::Unseen : it->second.State;
+  auto it = Records.find(attempt);
+  return it == Records.end() ? StartState::Unseen : it->second.State;
 }
 
 void StartLedger::noteWaiting(const std::string &attempt, Instant forgetAt) {
@@ -23,8 +23,8 @@
 }
 
 void StartLedger::noteFinished(const std::string &attempt) {
-  auto it = Entries.find(attempt);
-  if (it != Entries.end() && it->second.State == StartState::Started)
+  auto it = Records.find(attempt);
+  if (it != Records.end() && it->second.State == StartState::Started)
     it->second.State = StartState::Finished;
 }
 
@@ -37,16 +37,16 @@
 
 void StartLedger::forget(Instant now) {
   while (!ByForgetAt.empty() && ByForgetAt.begin()->first <= now) {
-    auto entry = Entries.find(ByForgetAt.begin()->second);
-    if (entry != Entries.end() && entry->second.ForgetAt <= now)
-      Entries.erase(entry);
+    auto record = Records.find(ByForgetAt.begin()->second);
+    if (record != Records.end() && record->second.ForgetAt <= now)
+      Records.erase(record);
     ByForgetAt.erase(ByForgetAt.begin());
   }
 }
 
 void StartLedger::put(const std::string &attempt, StartState state,
                       Instant forgetAt) {
-  auto [it, isNew] = Entries.try_emplace(attempt);
+  auto [it, isNew] = Records.try_emplace(attempt);
   it->second.State = state;
   if (!isNew && it->second.ForgetAt >= forgetAt)
     return;
--- a/src/libhickoryglade/startledger.h
+++ b/src/libhickoryglade/startledger.h
@@ -31,17 +31,17 @@
   /// Drops entries whose time is over.
   void forget(Instant now);
 
-  std::size_t size() const { return Entries.size(); }
+  std::size_t size() const { return Records.size(); }
 
 private:
-  struct Entry {
+  struct Record {
     StartState State = StartState::Unseen;
     Instant ForgetAt;
   };
 
   void put(const std::string &attempt, StartState state, Instant forgetAt);
 
-  std::unordered_map<std::string, Entry> Entries;
+  std::unordered_map<std::string, Record> Records;
   std::multimap<Instant, std::string> ByForgetAt;
 };
 
