--- a/src/plugins/peercomparison/peercomparison.cpp
+++ b/src/plugins/peercomparison/peercomparison.cpp
@@ -16,7 +16,7 @@
 
 /// A lone slow request is not yet a stall: a second witness is either all
 /// running work being overdue or a silence of twice the allowed length.
-bool hasSecondWitness(const EndpointEvidence &it, const ServicePolicy &policy) {
+bool isStallConfirmed(const EndpointEvidence &it, const ServicePolicy &policy) {
   bool isAllOverdue = it.Overdue == it.Running && it.Overdue > 1;
   return isAllOverdue || it.MaxOverdue > policy.StallAfter;
 }
@@ -25,7 +25,7 @@
                                const ServicePolicy &policy) {
   if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
     return {HealthVerdict::Unhealthy, "fails every request"};
-  if (isStalled(evidence, policy) && hasSecondWitness(evidence, policy))
+  if (isStalled(evidence, policy) && isStallConfirmed(evidence, policy))
     return {HealthVerdict::Unhealthy,
             "stalls while its peers complete such work"};
   if (!evidence.IsListening)
