--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -24,7 +24,7 @@
 
 using Indexes = std::vector<std::size_t>;
 
-double freedom(const Candidate &it) {
+double freeSlotScore(const Candidate &it) {
   return knownFree(it) + (it.IsLocal ? LocalBonus : 0);
 }
 
@@ -32,7 +32,7 @@
 std::size_t freest(std::span<const Candidate> candidates,
                    const Indexes &among) {
   return *std::ranges::max_element(
-      among, {}, [&](std::size_t i) { return freedom(candidates[i]); });
+      among, {}, [&](std::size_t i) { return freeSlotScore(candidates[i]); });
 }
 
 Indexes leastPressed(std::span<const Candidate> candidates, Indexes among,
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -22,7 +22,7 @@
 constexpr double FarPenalty = 1.5;
 constexpr double LocalBonus = 0.5;
 
-double attraction(const Candidate &it) {
+double freeSlotScore(const Candidate &it) {
   return knownFree(it) - (it.IsNear ? 0 : FarPenalty) +
          (it.IsLocal ? LocalBonus : 0);
 }
@@ -41,7 +41,7 @@
   shuffle(among, rng);
   auto freest = std::ranges::max_element(among, {}, [&](std::size_t i) {
     bool isFree = knownFree(candidates[i]) >= FreeForDirectSend;
-    return std::pair(isFree, attraction(candidates[i]));
+    return std::pair(isFree, freeSlotScore(candidates[i]));
   });
   bool isFreeKnown = knownFree(candidates[*freest]) >= FreeForDirectSend;
   if (isFreeKnown && !question.HasMissed)
