--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -28,15 +28,15 @@
   return knownFree(it) + (it.IsLocal ? LocalBonus : 0);
 }
 
-/// The freest gate, at random among equals; they must have been shuffled.
-std::size_t freest(std::span<const Candidate> candidates,
-                   const Indexes &among) {
+/// The mostFree gate, at random among equals; they must have been shuffled.
+std::size_t mostFree(std::span<const Candidate> candidates,
+                     const Indexes &among) {
   return *std::ranges::max_element(
       among, {}, [&](std::size_t i) { return freeSlotScore(candidates[i]); });
 }
 
-Indexes leastPressed(std::span<const Candidate> candidates, Indexes among,
-                     std::size_t most) {
+Indexes leastLoaded(std::span<const Candidate> candidates, Indexes among,
+                    std::size_t most) {
   std::ranges::stable_sort(
       among, {}, [&](std::size_t i) { return pressure(candidates[i]); });
   among.resize(std::min(among.size(), most));
@@ -74,12 +74,12 @@
                   Random &rng) {
   Indexes place = chooseFar(candidates, far, rng);
   if (question.RoomRefusals < RefusalsBeforeAll) {
-    std::size_t best = freest(candidates, place);
+    std::size_t best = mostFree(candidates, place);
     if (knownFree(candidates[best]) > 0)
       return {{best}, false, true, "free slot elsewhere"};
   }
-  Indexes targets = leastPressed(candidates, near, MaxTickets / 2);
-  Indexes others = leastPressed(candidates, place, MaxTickets - targets.size());
+  Indexes targets = leastLoaded(candidates, near, MaxTickets / 2);
+  Indexes others = leastLoaded(candidates, place, MaxTickets - targets.size());
   targets.insert(targets.end(), others.begin(), others.end());
   return {targets, true, false, "tickets in two data centres"};
 }
@@ -97,13 +97,13 @@
   Indexes far(rest.begin(), rest.end());
   Indexes near(among.begin(), rest.begin());
   if (!near.empty() && question.RoomRefusals == 0) {
-    std::size_t best = freest(candidates, near);
+    std::size_t best = mostFree(candidates, near);
     if (knownFree(candidates[best]) > 0)
       return {{best}, false, true, "free slot near"};
   }
   bool isNearTried = question.RoomRefusals > 1;
   if (far.empty() || (!near.empty() && !isNearTried)) {
-    RoutePlan plan{leastPressed(candidates, near, MaxTickets), true, false,
+    RoutePlan plan{leastLoaded(candidates, near, MaxTickets), true, false,
                    "tickets near"};
     plan.IsWaitBounded = !far.empty();
     return plan;
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -39,13 +39,13 @@
   if (among.empty())
     return {{}, false, false, "no candidate"};
   shuffle(among, rng);
-  auto freest = std::ranges::max_element(among, {}, [&](std::size_t i) {
+  auto mostFree = std::ranges::max_element(among, {}, [&](std::size_t i) {
     bool isFree = knownFree(candidates[i]) >= FreeForDirectSend;
     return std::pair(isFree, freeSlotScore(candidates[i]));
   });
-  bool isFreeKnown = knownFree(candidates[*freest]) >= FreeForDirectSend;
+  bool isFreeKnown = knownFree(candidates[*mostFree]) >= FreeForDirectSend;
   if (isFreeKnown && !question.HasMissed)
-    return {{*freest}, false, true, "free slot known"};
+    return {{*mostFree}, false, true, "free slot known"};
   std::ranges::stable_sort(among, {}, [&](std::size_t i) {
     return std::pair(pressure(candidates[i]), !candidates[i].IsNear);
   });
