--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -56,11 +56,12 @@
 /// by the number of their gates, so that not all entries choose alike.
 Indexes chooseFar(std::span<const Candidate> candidates, const Indexes &far,
                   Random &rng) {
-  std::map<std::string, Indexes> places;
+  std::map<std::string, Indexes> byDataCentre;
   for (std::size_t i : far)
-    places[candidates[i].DataCentre].push_back(i);
+    byDataCentre[candidates[i].DataCentre].push_back(i);
   auto draw = [&]() -> const Indexes & {
-    return places.at(candidates[far[uniform(rng, far.size())]].DataCentre);
+    return byDataCentre.at(
+        candidates[far[uniform(rng, far.size())]].DataCentre);
   };
   const Indexes &first = draw();
   const Indexes &second = draw();
@@ -72,14 +73,14 @@
 RoutePlan planFar(std::span<const Candidate> candidates, const Indexes &near,
                   const Indexes &far, const RouteQuestion &question,
                   Random &rng) {
-  Indexes place = chooseFar(candidates, far, rng);
+  Indexes chosen = chooseFar(candidates, far, rng);
   if (question.RoomRefusals < RefusalsBeforeAll) {
-    std::size_t best = mostFree(candidates, place);
+    std::size_t best = mostFree(candidates, chosen);
     if (knownFree(candidates[best]) > 0)
       return {{best}, false, true, "free slot elsewhere"};
   }
   Indexes targets = leastLoaded(candidates, near, MaxTickets / 2);
-  Indexes others = leastLoaded(candidates, place, MaxTickets - targets.size());
+  Indexes others = leastLoaded(candidates, chosen, MaxTickets - targets.size());
   targets.insert(targets.end(), others.begin(), others.end());
   return {targets, true, false, "tickets in two data centres"};
 }
