--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Time after a broken connection in which a restart counts as its cause.
+/// A restart within this time after a broken connection counts as a crash.
 constexpr Micros DroppedWindow = std::chrono::seconds(10);
 
-/// Answers that end a trial of an endpoint that has relapsed.
+/// Successful answers that end the trial of an endpoint with relapses.
 constexpr int AnswersAfterRelapse = 2;
 
-/// Two failures in a row make more than half of the share.
+/// Weight in the moving average; two failures in a row raise it above 0.5.
 constexpr double LatestOutcomeWeight = 0.3;
 
 void markSuspect(GateEndpoint &endpoint, const std::string &reason,
@@ -38,7 +38,7 @@
   bool isOnTrial = endpoint.State == Standing::Trial && endpoint.Relapses > 0;
   if (isOnTrial && endpoint.TrialAnswers < AnswersAfterRelapse)
     return;
-  // Endpoints that fail most of their work answer some of it.
+  // An endpoint that fails most requests still answers a few of them.
   bool isStillFailing = endpoint.State == Standing::Suspect &&
                         endpoint.FailureShare > MaxFailureShare;
   if (isStillFailing)
@@ -62,8 +62,8 @@
   updateFailureShare(endpoint, true);
 }
 
-/// Idempotent work of a stalled endpoint is handed back, so that the entry
-/// can run it elsewhere, if it still may.
+/// Aborts overdue idempotent requests of a stalled endpoint, so that the entry
+/// can retry them at another endpoint.
 void abortOverdue(const GateEndpoint &endpoint, const ServicePolicy &policy,
                   Instant now, GateActions &actions) {
   std::vector<std::string> overdue;
@@ -83,7 +83,7 @@
   actions.push_back(CrashAction{fingerprint, service});
 }
 
-/// A restart soon after connections broke was a crash.
+/// Reports crashes for connections that broke shortly before a restart.
 void reportDroppedAsCrashes(Gate &gate, GateEndpoint &endpoint, Instant now,
                             GateActions &actions) {
   for (const DroppedRequest &it : endpoint.Dropped)
@@ -92,8 +92,8 @@
   endpoint.Dropped.clear();
 }
 
-/// A deadline that was long enough for such a request, during which the
-/// endpoint completed nothing else, speaks against the endpoint.
+/// A timeout counts as a failure of the endpoint if the request ran far longer
+/// than expected and the endpoint completed nothing meanwhile.
 bool isConclusiveTimeout(const GateEndpoint &endpoint, const SlotHolder &holder,
                          Instant now) {
   return endpoint.LastCompletion < holder.Since &&
@@ -153,7 +153,8 @@
     return;
   bool hasRested =
       now - endpoint.StateSince >= restBeforeTrial(policy, endpoint.Relapses);
-  // What hangs from before may do so until its deadline.
+  // Requests from before the change may hang until their deadline; they do not
+  // delay the trial.
   if (!hasRested || hasStartedSinceChange(endpoint))
     return;
   endpoint.ConsecutiveFailures = 0;
@@ -206,7 +207,7 @@
     countFailure(endpoint);
     return;
   case AttemptOutcome::TimedOut:
-    // What hung before a trial began says nothing of how it goes.
+    // Requests that started before the trial are no evidence about it.
     if (holder.Since >= endpoint.EvidenceSince &&
         isConclusiveTimeout(endpoint, holder, now))
       countFailure(endpoint);
--- a/src/libhickoryglade/gatehealth.h
+++ b/src/libhickoryglade/gatehealth.h
@@ -4,28 +4,28 @@
 
 namespace hickoryglade {
 
-/// Uneventful time after which relapses are forgiven.
+/// Time in good standing after which the count of relapses is reset.
 constexpr Micros RelapseWindow = std::chrono::seconds(60);
 
-/// Changes a standing and tells of it, if it is news.
+/// Sets an endpoint's standing and reports it if it differs from the old one.
 void setStanding(GateEndpoint &endpoint, Standing state, std::string reason,
                  Instant now, GateActions &actions);
 
-/// Asks the health policy and acts on its verdict.
+/// Runs the health policy and applies its verdict.
 void assessHealth(Gate &gate, GateEndpoint &endpoint, Instant now,
                   GateActions &actions);
 
-/// A sick endpoint that has rested may try one request. One that nobody has
-/// tried for long is taken for healthy: its service may have no idempotent
-/// work.
+/// Puts an ejected or suspect endpoint on trial once its rest is over. An
+/// endpoint on trial that receives no request for TrialPatience becomes
+/// healthy, since its service may have no idempotent requests.
 void considerTrial(const Gate &gate, GateEndpoint &endpoint, Instant now,
                    GateActions &actions);
 
-/// Takes down what an attempt shows of its endpoint.
+/// Updates an endpoint's health data with the outcome of an attempt.
 void noteOutcome(Gate &gate, GateEndpoint &endpoint, const SlotHolder &holder,
                  AttemptOutcome outcome, Instant now, GateActions &actions);
 
-/// A new incarnation starts without the history of the old one.
+/// Resets the health data of an endpoint whose process has been restarted.
 void replaceIncarnation(Gate &gate, GateEndpoint &endpoint,
                         GateActions &actions, Instant now);
 
