--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -10,11 +10,13 @@
 
 namespace {
 
-/// Time in which an endpoint that runs a crashing request is found crashed.
+/// Time within which the crash of an endpoint by a running request is detected
+/// and reported to this gate.
 constexpr Micros SettleDelay = std::chrono::milliseconds(100);
 
-/// Only work of the ticket's class stands in its way: short requests pass
-/// waiting long ones, long ones share the slots that they may hold.
+/// Slot time of running and waiting requests that delay this one. Only requests
+/// of the same class count: short requests overtake waiting long ones, and long
+/// ones compete only for the slots that long requests may hold.
 Micros slotTimeAhead(const Gate &gate, const GateService &service,
                      const Ticket &ticket, Instant now) {
   Micros running{0};
@@ -32,8 +34,8 @@
          service.Queue.costAhead(ticket, weight, service.Policy.Order);
 }
 
-/// A wait that still lets the answer come with its full value is never too
-/// long.
+/// Longest wait that the request accepts. A wait after which the answer still
+/// meets its target is always accepted.
 Micros longestWait(const ServicePolicy &policy, const Ticket &ticket,
                    Instant now) {
   if (ticket.MaxWait)
--- a/src/libhickoryglade/gateadmission.h
+++ b/src/libhickoryglade/gateadmission.h
@@ -4,46 +4,49 @@
 
 namespace hickoryglade {
 
-/// Least wait that a refused caller is told.
+/// Lower bound of the retry delay that refused callers receive.
 constexpr Micros MinRetryAfter = std::chrono::milliseconds(200);
 
-/// Wait that a caller is told while a service has no endpoint here.
+/// Retry delay for callers while a service has no endpoint at this gate.
 constexpr Micros NoEndpointRetryAfter = std::chrono::seconds(1);
 
-/// Spreads callers so that they do not come back together.
+/// Retry delay with random jitter of up to 100 %, so that refused callers do
+/// not retry at the same time.
 Millis jitteredRetryAfter(Gate &gate, Micros wait);
 
-/// Tells the caller of an attempt that it will not run here.
+/// Appends the refusal of an attempt.
 void refuse(GateActions &actions, const std::string &attempt, Error reason);
 
-/// An error of work that has not run.
+/// Error for an attempt that has not run.
 Error notRun(ErrorKind kind, std::string detail, Millis retryAfter);
 
 /// True for content that has crashed an endpoint and runs one copy at a time.
 bool isSerialized(const Gate &gate, const Ticket &ticket, Instant now);
 
-/// A copy that was sent off before its entry knew of the crash must not run
-/// beside one that the others have been sent to.
+/// True for a request with serialized content that its entry sent here before
+/// it knew of the crash. Later copies go to the one gate that serializes them,
+/// so this one must not run here at the same time.
 bool isAtWrongGate(const Gate &gate, const GateService &service,
                    const Ticket &ticket, Instant now);
 
-/// Why such a copy is turned away.
+/// Error for a request for which isAtWrongGate holds.
 Error wrongGateError();
 
-/// True while another copy of such content runs, or news of one may be due.
+/// True while another copy of serialized content runs, or while a crash report
+/// of an earlier copy may still arrive.
 bool isSerializedBusy(const Gate &gate, GateService &service,
                       const Ticket &ticket, Instant now);
 
-/// True for a repeat beyond this gate's part of the fleet's bound.
+/// True for a retry beyond this gate's part of the fleet's retry budget.
 bool exceedsRepeatBudget(GateService &service, const Ticket &ticket,
                          Instant now);
 
-/// Asks the admission policy; nothing if the request may wait. Enters the wait
-/// that the queue promises into the ticket.
+/// Error of the admission policy, or nothing if the request may wait. Stores
+/// the estimated wait in the ticket.
 std::optional<Error> admissionError(Gate &gate, GateService &service,
                                     Ticket &ticket, int slots, Instant now);
 
-/// Reasons to refuse a request before any slot is looked for.
+/// Error of a request that is refused before a slot is looked for.
 std::optional<Error> offerError(const Gate &gate, const Ticket &ticket,
                                 Instant now);
 
