--- a/src/libhickoryglade/gaterules.cpp
+++ b/src/libhickoryglade/gaterules.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A long request takes a slot beyond the cap only where it leaves one free
-/// and no short request waits.
+/// A long request exceeds the cap only if another slot stays free and no short
+/// request waits.
 bool mayHoldLong(const GateEndpoint &endpoint, const GateService &service,
                  Instant now) {
   int held = longHeld(endpoint, now, service.Policy.LongAfter);
@@ -16,9 +16,9 @@
   return freeSlots(endpoint) > 1 && !service.Queue.hasShort();
 }
 
-/// Log of how much likelier the silence of an endpoint is of one that hangs,
-/// from which it gets no work that may run only once: two to one. It costs a
-/// message to ask the next.
+/// Log-odds of a hang above which an endpoint gets no requests that may run
+/// only once: two to one. A low bound suffices, since a refusal costs just one
+/// message to another gate.
 constexpr double MaxSilentLogOdds = 0.7;
 
 } // namespace
@@ -61,7 +61,7 @@
   if (!takesWork(endpoint, now) || isDoubtfulFor(endpoint, service, ticket))
     return false;
   bool isTrial = endpoint.State == Standing::Trial;
-  // Work that hangs at an endpoint on trial must have another try.
+  // A request that hangs at an endpoint on trial must be able to be retried.
   bool suitsTrial = !ticket.IsLong && ticket.IsIdempotent && !ticket.IsLastTry;
   if (isTrial && !suitsTrial)
     return false;
--- a/src/libhickoryglade/gaterules.h
+++ b/src/libhickoryglade/gaterules.h
@@ -4,48 +4,51 @@
 
 namespace hickoryglade {
 
-/// True while an endpoint announces itself often enough.
+/// True while the latest announcement is within the announcement limit.
 bool isAnnounced(const GateEndpoint &endpoint, Instant now);
 
-/// True while an ejection lease holds.
+/// True while an ejection lease is in force.
 bool isEjected(const GateEndpoint &endpoint, Instant now);
 
-/// True if a slot of the endpoint could take some request.
+/// True if the endpoint can take at least one more request.
 bool takesWork(const GateEndpoint &endpoint, Instant now);
 
-/// Slots that long requests may hold while short ones wait.
+/// Number of slots that long requests may hold while short ones wait.
 int longCap(const GateEndpoint &endpoint, const ServicePolicy &policy);
 
-/// An entry that does not know yet that an endpoint is doubtful has better
-/// choices.
+/// True if the endpoint is doubtful and the request should go to another gate:
+/// its entry does not know of the doubt yet, or spills over to an endpoint that
+/// fails most requests.
 bool isDoubtfulFor(const GateEndpoint &endpoint, const GateService &service,
                    const Ticket &ticket);
 
-/// True if the running work of every endpoint here is silent for so long that a
-/// request that may run only once had better go elsewhere.
+/// True if a request that must not be repeated should go to another gate, since
+/// every endpoint here has had requests running for suspiciously long.
 bool isEveryEndpointSilent(const Gate &gate, const GateService &service,
                            const Ticket &ticket, Instant now);
 
-/// True if this request may take a slot of the endpoint.
+/// True if the endpoint has a slot that this request may take.
 bool mayTake(const GateEndpoint &endpoint, const GateService &service,
              const Ticket &ticket, Instant now);
 
-/// Prefers the healthy, then the emptiest endpoint.
+/// Chooses a healthy endpoint before a suspect one, then the one with the most
+/// free slots; nullptr if there is none.
 GateEndpoint *chooseEndpoint(Gate &gate, const GateService &service,
                              const Ticket &ticket, Instant now);
 
-/// Slots that requests of a class can count on in the long run.
+/// Total number of slots that requests of the ticket's class may hold.
 int slotsForClass(const Gate &gate, const GateService &service,
                   const Ticket &ticket, Instant now);
 
-/// Slots of all endpoints that are not ejected or leaving.
+/// Total number of slots of endpoints that are neither ejected, draining nor
+/// silent.
 int slotsInRotation(const Gate &gate, const std::string &service, Instant now);
 
-/// No request waits behind an endpoint that takes one at a time.
+/// True if every endpoint here is on trial or draining. No request waits for an
+/// endpoint on trial, which takes one request at a time.
 bool isEveryEndpointOnTrial(const Gate &gate, const std::string &service);
 
-/// True if every endpoint here is doubtful and the request's entry does not
-/// know.
+/// True if isDoubtfulFor holds for every endpoint here that is not draining.
 bool isEveryEndpointDoubtful(const Gate &gate, const GateService &service,
                              const Ticket &ticket);
 
