--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// How long a granted slot waits for the body.
+/// Time that a granted slot is held for the request's body.
 constexpr Micros GrantTimeout = std::chrono::milliseconds(250);
 
-/// Time after an attempt's deadline during which late copies are recognized.
+/// Time after an attempt's deadline for which late copies are recognized.
 constexpr Micros LedgerMargin = std::chrono::seconds(60);
 
-/// Waits count whether they ended with a slot or in vain.
+/// Records the wait of a request, whether it got a slot or not.
 void noteWait(GateService &service, const Ticket &ticket, Instant now) {
   service.Waits.record(ticket.Priority, ticket.EstimatedWait,
                        now - ticket.WaitingSince, now);
--- a/src/libhickoryglade/gatequeue.h
+++ b/src/libhickoryglade/gatequeue.h
@@ -4,18 +4,19 @@
 
 namespace hickoryglade {
 
-/// Until when late copies of an attempt must be recognized.
+/// Time until which late copies of an attempt must be recognized.
 Instant forgetAt(const Ticket &ticket);
 
-/// Gives a slot to a request: starts it, or grants the slot to its body.
+/// Assigns a slot to a request: starts it, or grants the slot until its body
+/// arrives.
 void assign(Gate &gate, GateService &service, GateEndpoint &endpoint,
             const Ticket &ticket, Instant now, GateActions &actions);
 
-/// Sends the request of a held slot off, unless it has been fenced.
+/// Starts the request that holds a slot, unless it has been fenced.
 void start(Gate &gate, GateEndpoint &endpoint, SlotHolder &holder, Instant now,
            GateActions &actions);
 
-/// Gives free slots to waiting requests.
+/// Assigns free slots to waiting requests.
 void dispatch(Gate &gate, const std::string &name, Instant now,
               GateActions &actions);
 
@@ -23,19 +24,21 @@
 std::optional<SlotHolder> release(Gate &gate, const std::string &attempt,
                                   GateEndpoint *&endpoint);
 
-/// Ends grants whose body did not come, and runs past their deadline.
+/// Refuses granted requests whose body did not arrive in time, and aborts
+/// running requests that are past their deadline.
 void expireHolders(Gate &gate, GateEndpoint &endpoint, Instant now,
                    GateActions &actions);
 
 /// Refuses waiting requests whose deadline has passed.
 void expireQueue(GateService &service, Instant now, GateActions &actions);
 
-/// Waiting requests leave a gate that has no endpoint for them any more.
+/// Refuses all waiting requests of a service that has no endpoint left here, or
+/// if the gate is draining.
 void flushIfNoEndpoint(Gate &gate, const std::string &name, Instant now,
                        GateActions &actions);
 
-/// Waiting requests whose entries do not know that the gate's endpoint has
-/// become doubtful are better served elsewhere.
+/// Refuses waiting requests for which every endpoint here is doubtful, so that
+/// their entries choose another gate.
 void flushIfDoubtful(Gate &gate, const std::string &name, GateActions &actions);
 
 } // namespace hickoryglade
