--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// A freshly started endpoint is allowed slow first answers.
+/// Until an endpoint has completed this many requests after its start, its
+/// answers may take longer by the factor below.
 constexpr int WarmCompletions = 3;
 constexpr int ColdAllowance = 3;
 
-/// How much slower a freshly started endpoint usually is.
+/// Factor by which a freshly started endpoint is usually slower.
 constexpr int ColdSlowdown = 2;
 
-/// Bounds the shift; the policy bounds the rest itself.
+/// Keeps the shift from overflowing; MostRest bounds the rest time itself.
 constexpr int MaxDoublings = 16;
 
 Micros overdueBy(const GateEndpoint &endpoint, const SlotHolder &holder,
@@ -25,9 +26,10 @@
   return std::max(now - holder.Since - allowed, Micros{0});
 }
 
-/// Log of how much likelier it is of an endpoint that hangs on three quarters
-/// of its work that a request still runs, at a multiple of its expected time:
-/// run times of a class are spread by half, and one in 30 takes far longer.
+/// Log-likelihood ratio of a request that still runs at a multiple of its
+/// expected time: of an endpoint that hangs on three quarters of its requests
+/// against a healthy one. It assumes that run times of a class spread by half,
+/// and that one request in 30 takes far longer.
 double hangLogOddsOf(double multiple) {
   constexpr double leastMultiple = 0.55;
   constexpr double perMultiple = 1.4;
@@ -35,8 +37,8 @@
   return std::clamp((multiple - leastMultiple) * perMultiple, 0.0, most);
 }
 
-/// By how much a completion speaks against a hang: the log of four, since such
-/// an endpoint completes one request in four.
+/// Evidence of a completion against a hang: the log of four, since an endpoint
+/// that hangs on three quarters of its requests completes one in four.
 constexpr double CompletionLogOdds = 1.4;
 
 constexpr std::size_t MaxCompleted = 16;
@@ -58,8 +60,8 @@
   return odds - CompletionLogOdds * double(later);
 }
 
-/// Multiple of its expected time after which a request of a hanging endpoint
-/// is given to another, and the time that it needs there.
+/// Multiple of its expected run time after which a request at a hanging
+/// endpoint is retried elsewhere, and the multiple that the retry needs.
 constexpr int RetryElsewhereFactor = 2;
 constexpr double RetryTimeFactor = 1.25;
 
--- a/src/libhickoryglade/gateendpoint.h
+++ b/src/libhickoryglade/gateendpoint.h
@@ -26,72 +26,76 @@
   Instant At;
 };
 
-/// An endpoint behind this gate and what the gate has seen of it.
+/// State of an endpoint behind this gate, from its announcements and from the
+/// attempts that this gate has sent to it.
 struct GateEndpoint {
   Announcement Announced;
-  /// Counts the incarnations that this gate has seen; fences late results.
+  /// Number of incarnations that this gate has seen; fences late results.
   std::int64_t Generation = 1;
   Instant LastAnnounced;
-  /// Silence after which the endpoint is taken for gone.
+  /// Time without announcements after which the endpoint counts as gone.
   Micros AnnouncementLimit = std::chrono::milliseconds(1'900);
   Standing State = Standing::Healthy;
-  /// Why the standing is what it is.
+  /// Reason for the present standing.
   std::string StateReason = "announced";
   std::vector<SlotHolder> Holders;
   std::vector<DroppedRequest> Dropped;
   Instant LastCompletion;
-  /// Latest completions, oldest first; bounded.
+  /// Times of the latest completions, oldest first; bounded.
   std::deque<Instant> Completed;
-  /// True from when it was found hanging until it has answered again.
+  /// True from when a hang was detected until the endpoint recovers.
   bool IsHanging = false;
-  /// Requests that started before this say nothing of its present state.
+  /// Requests that started earlier are no evidence of the present health.
   Instant EvidenceSince;
   int ConsecutiveFailures = 0;
-  /// Share of failures among the latest outcomes.
+  /// Moving average of the share of failures among outcomes.
   double FailureShare = 0;
-  /// Refusals in a row by the endpoint though it had a slot free.
+  /// Consecutive refusals by the endpoint although it had a free slot.
   int ConsecutiveSheds = 0;
-  /// False once nothing has been found listening at its address.
+  /// False after an attempt found nothing listening at its address.
   bool IsListening = true;
-  /// Answers since the endpoint's start.
+  /// Successful answers since the endpoint's start.
   int Completions = 0;
-  /// When it last passed a trial, while that still counts.
+  /// Time of the latest recovery; none once it has become suspect again.
   std::optional<Instant> RecoveredAt;
-  /// Answers since the present trial began.
+  /// Successful answers since the present trial began.
   int TrialAnswers = 0;
-  /// Times that the endpoint fell ill again soon after it was readmitted.
+  /// Times that the endpoint failed on trial or soon after a recovery.
   int Relapses = 0;
   Instant StateSince;
   /// End of the ejection lease by this node's clock.
   std::optional<Instant> EjectedUntil;
 };
 
-/// Share of failures above which a doubtful endpoint gets trials only, while
-/// there are others in good standing, and one answer does not clear it.
+/// Share of failures above which a suspect endpoint gets no spillover traffic,
+/// and one successful answer does not restore its standing.
 constexpr double MaxFailureShare = 0.5;
 
-/// A request is overdue once it has taken this many times what entries have
-/// seen such requests take anywhere.
+/// A request is overdue after this multiple of its expected run time, which
+/// entries have learned from such requests at all endpoints.
 constexpr int OverdueFactor = 6;
 
-/// Takes note of a completed request.
+/// Records the time of a completed request.
 void noteCompletion(GateEndpoint &endpoint, Instant now);
 
 /// True if a request has started since the endpoint's standing last changed.
 bool hasStartedSinceChange(const GateEndpoint &endpoint);
 
-/// True for a request that has run for much longer than such requests take, and
-/// has time for another try.
+/// True for an idempotent request that has run much longer than expected and
+/// has time left for a retry at another endpoint.
 bool shouldRetryElsewhere(const SlotHolder &holder, const ServicePolicy &policy,
                           Instant now);
 
 int freeSlots(const GateEndpoint &endpoint);
+
+/// Number of slots held by long requests or by requests that have run for
+/// longer than longAfter.
 int longHeld(const GateEndpoint &endpoint, Instant now, Micros longAfter);
 
 EndpointEvidence evidenceOf(const GateEndpoint &endpoint,
                             const ServicePolicy &policy, Instant now);
 
-/// Time that a sick endpoint rests before a trial; doubles with relapses.
+/// Time without traffic before a trial; doubles with each relapse.
 Micros restBeforeTrial(const ServicePolicy &policy, int relapses);
 
 } // namespace hickoryglade
