--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -12,18 +12,19 @@
 
 namespace {
 
-/// How long announcements of an endpoint that has left may still arrive.
+/// Time for which late announcements of an endpoint that has left may arrive.
 constexpr Micros DepartedRetention = std::chrono::seconds(60);
 
-/// A silent endpoint with nothing running is forgotten after this time.
+/// Time without announcements after which an idle endpoint is removed.
 constexpr Micros ForgetSilentAfter = std::chrono::seconds(30);
 
-/// A tick that is later than this shows a pause. A gate that wakes from one
-/// first hears what it has missed before it starts anything.
+/// A tick that is overdue by more than this shows that the process was paused.
+/// For HoldAfterPause the gate then starts nothing, so that it first processes
+/// the messages that it missed.
 constexpr Micros PauseLimit = std::chrono::milliseconds(450);
 constexpr Micros HoldAfterPause = std::chrono::milliseconds(100);
 
-/// How long the settling of crashing content is remembered.
+/// Time for which a settle delay that has elapsed is remembered.
 constexpr Micros SettleRetention = std::chrono::seconds(10);
 
 void detectPause(Gate &gate, Instant now) {
@@ -31,7 +32,7 @@
     gate.HoldUntil = now + HoldAfterPause;
 }
 
-/// An endpoint at whose address another one has started is gone.
+/// Withdraws an endpoint if another one has started later at its address.
 void replaceAtAddress(Gate &gate, const Announcement &announcement, Instant now,
                       GateActions &actions) {
   std::vector<std::string> gone;
--- a/src/libhickoryglade/gate.h
+++ b/src/libhickoryglade/gate.h
@@ -20,17 +20,17 @@
 /// Usual time between ticks of a gate.
 constexpr Micros TickPeriod = std::chrono::milliseconds(50);
 
-/// How an attempt at an endpoint ended.
+/// Outcome of an attempt at an endpoint.
 enum class AttemptOutcome {
-  /// A whole answer of any status below 500.
+  /// A complete answer with a status below 500.
   Answered,
-  /// A whole answer that reports a server error.
+  /// A complete answer that reports a server error.
   ServerError,
   /// Refused by the endpoint without running it.
   Shed,
-  /// The connection broke; whether the process is gone is not known.
+  /// The connection broke; the process may still run.
   Broken,
-  /// The connection broke and nothing listens at the address any more.
+  /// The connection broke, and nothing listens at the address any more.
   Crashed,
   /// Nothing listens at the address; the attempt was not sent.
   Unreachable,
@@ -38,13 +38,13 @@
   Failed,
   /// The deadline passed without an answer.
   TimedOut,
-  /// The caller withdrew it.
+  /// The caller cancelled the attempt.
   Cancelled,
 };
 
 std::string_view toString(AttemptOutcome outcome);
 
-/// What a gate knows about a service at the moment of a reply.
+/// Load of a service at this gate, sent with replies.
 struct GateLoad {
   int FreeSlots = 0;
   int Queued = 0;
@@ -55,111 +55,111 @@
   bool operator==(const GateLoad &) const = default;
 };
 
-/// The queue and learned costs of one service at this gate.
+/// Queue, settings and statistics of one service at this gate.
 struct GateService {
   ServicePolicy Policy;
   FairQueue Queue;
   RepeatBudget Repeats;
   WaitForecast Waits;
-  /// Gates over which the service's allowance of retries is shared out: the
-  /// most that have been known, since a node that is cut off knows too few.
+  /// Number of gates that share the service's retry budget. It is the highest
+  /// number seen so far, since a node behind a partition sees too few gates.
   int Gates = 1;
-  /// Shares of the workspaces that use the service.
+  /// Shares of the workspaces that use the service, as weights.
   std::map<std::string, int> Shares;
   /// Fingerprints of serialized requests that are running.
   std::set<std::uint64_t> Serialized;
-  /// Serialized requests wait until here for news of copies that were under
-  /// way when the first crash became known.
+  /// By fingerprint, the time until which serialized requests wait for crash
+  /// reports of copies that were running when the first crash became known.
   std::map<std::uint64_t, Instant> SettleUntil;
 };
 
-/// An endpoint that has left, kept so that late announcements of it do not
-/// bring it back.
+/// Record of an endpoint that has left, by which its late announcements are
+/// recognized and ignored.
 struct DepartedEndpoint {
   std::int64_t StartedAtMs = 0;
   Instant ForgetAt;
 };
 
-/// State of one node's gate: the only way to the endpoints announced to it.
-/// All functions below are the only ones that change it; each takes the time
-/// and returns what the caller must carry out, in order.
+/// State of one node's gate. All requests to the endpoints announced to the
+/// node pass through it. Only the functions below change it; each takes the
+/// current time and returns the actions that the caller must carry out in
+/// order.
 struct Gate {
-  /// Name of this node, under which it counts crashes.
+  /// Name of this node, used as the key of its crash counts.
   std::string Node;
   std::map<std::string, GateEndpoint> Endpoints;
   std::map<std::string, DepartedEndpoint> Departed;
-  /// An endpoint that has not announced itself for this long is taken for
-  /// gone.
+  /// Time without announcements after which an endpoint counts as gone.
   Micros AnnouncementLimit = std::chrono::milliseconds(1'900);
   std::map<std::string, GateService> Services;
   StartLedger Ledger;
   Quarantine Crashes;
-  /// Endpoint of each attempt that holds a slot.
+  /// Endpoint at which an attempt holds a slot, by attempt id.
   std::map<std::string, std::string> EndpointByAttempt;
   bool IsDraining = false;
-  /// When the next tick is expected; one that is long overdue shows that the
-  /// process was paused. Whoever ticks more seldom than usual moves it.
+  /// Time at which the next tick is due. A tick that is long overdue shows that
+  /// the process was paused. A caller that ticks less often than TickPeriod
+  /// must postpone it.
   std::optional<Instant> TickDue;
-  /// Nothing starts before this time.
+  /// No request starts before this time.
   Instant HoldUntil;
   Random Rng{1};
 };
 
-/// True for an announcement that is older than what the gate knows: of an
-/// endpoint that has left, of an earlier process, or sent before one already
-/// taken.
+/// True for an announcement that is older than the gate's state: of an endpoint
+/// that has left, of an earlier process, or sent before one already processed.
 bool isOutdated(const Gate &gate, const Announcement &announcement);
 
-/// Takes or renews an announcement; outdated ones change nothing.
+/// Adds an endpoint or renews its announcement; ignores outdated ones.
 GateActions announce(Gate &gate, const Announcement &announcement, Instant now);
 
-/// Forgets an endpoint that has left; what it runs may finish.
+/// Removes an endpoint that has left; its running requests may finish.
 GateActions withdraw(Gate &gate, const std::string &endpoint, Instant now);
 
-/// Starts of endpoints of which this gate knows that they have left, or are
-/// leaving.
+/// Records of the endpoints that have left this gate or are draining.
 std::vector<DepartedRecord> departedRecords(const Gate &gate);
 
-/// An earlier process of this node knew that a start of an endpoint has left.
+/// Restores a record that an earlier process of this node kept.
 GateActions noteDeparted(Gate &gate, const DepartedRecord &departed,
                          Instant now);
 
-/// A request asks for a slot.
+/// Processes a ticket: assigns a slot, queues the request or refuses it.
 GateActions offer(Gate &gate, const Ticket &ticket, Instant now);
 
-/// The body of a granted request has arrived.
+/// Starts a granted request whose body has arrived.
 GateActions claim(Gate &gate, const std::string &attempt, Instant now);
 
-/// The request is not to be handed back any more.
+/// Marks a request as its last try, so that it is not aborted for a retry.
 void keep(Gate &gate, const std::string &attempt);
 
-/// The caller no longer wants the request here.
+/// Removes a waiting request, releases its slot or aborts it.
 GateActions cancel(Gate &gate, const std::string &attempt, Instant now);
 
-/// An attempt at an endpoint has ended.
+/// Releases the slot of an attempt that has ended and records the outcome.
 GateActions complete(Gate &gate, const std::string &attempt,
                      AttemptOutcome outcome, Instant now);
 
-/// Fences an attempt that has not started; returns what it found.
+/// Fences an attempt that has not started; returns the attempt's state.
 StartState revoke(Gate &gate, const std::string &attempt, Instant forgetAt,
                   Instant now, GateActions &actions);
 
-/// Grants, renews (later end) or ends (no end) an ejection lease.
+/// Grants or renews an ejection lease until a time; ends it if there is none.
 GateActions setEjection(Gate &gate, const std::string &endpoint,
                         std::optional<Instant> until, Instant now);
 
-/// Deadlines, silent endpoints, verdicts, lapsed grants and leases.
+/// Periodic work: enforces deadlines, grants and leases, assesses the health of
+/// endpoints, removes silent ones and dispatches waiting requests.
 GateActions tick(Gate &gate, Instant now);
 
-/// Stops taking work; what runs may finish.
+/// Stops accepting requests and refuses waiting ones; running ones may finish.
 GateActions drain(Gate &gate, Instant now);
 
 GateLoad loadOf(const Gate &gate, const std::string &service, Instant now);
 
-/// Takes note of how many gates a service has now.
+/// Updates the number of gates of a service; it never decreases.
 void noteGates(GateService &service, int gates);
 
-/// True if no request waits or runs.
+/// True if no request waits or holds a slot.
 bool isIdle(const Gate &gate);
 
 } // namespace hickoryglade
