--- a/src/libhickoryglade/fairqueue.cpp
+++ b/src/libhickoryglade/fairqueue.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Floor of a ticket's cost, so that no workspace runs for free.
+/// Minimum cost of a ticket, so that every request counts towards its
+/// workspace's share.
 constexpr Micros MinCost{1'000};
 
 Micros costOf(const Ticket &ticket) {
--- a/src/libhickoryglade/fairqueue.h
+++ b/src/libhickoryglade/fairqueue.h
@@ -12,20 +12,20 @@
 
 namespace hickoryglade {
 
-/// Requests that wait for slots of one service, shared fairly between
-/// workspaces by start-time fair queueing over slot time.
+/// Queue of the requests that wait for slots of one service. It divides slot
+/// time between workspaces by start-time fair queueing.
 class FairQueue {
 public:
   void push(Ticket ticket, int share, QueueOrder order);
 
-  /// Takes the next ticket that may run; a workspace that has received less
-  /// slot time per share goes first.
+  /// Removes and returns the next ticket that may run, first from the workspace
+  /// that has received the least slot time per share.
   std::optional<Ticket> pop(const std::function<bool(const Ticket &)> &mayRun);
 
-  /// Returns false if the attempt does not wait here.
+  /// Returns false if the attempt is not in the queue.
   bool remove(const std::string &attempt);
 
-  /// Takes out the tickets whose deadline leaves no time to run.
+  /// Removes and returns the tickets whose deadline leaves no time to run.
   std::vector<Ticket> takeExpired(Instant now);
 
   std::vector<Ticket>
@@ -33,24 +33,26 @@
 
   std::vector<Ticket> takeAll();
 
-  /// Slot time of the waiting tickets of its class that would run before a new
-  /// one.
+  /// Slot time of the waiting tickets of the same class that would run before
+  /// a new ticket.
   Micros costAhead(const Ticket &ticket, int share, QueueOrder order) const;
 
   std::size_t size() const { return Count; }
   bool hasShort() const;
 
 private:
+  /// Waiting tickets of one workspace.
   struct Flow {
     std::deque<Ticket> Tickets;
     int Share = 1;
     /// Slot time received per share, in microseconds.
     double VirtualTime = 0;
-    /// Slot time that short and long tickets wait for.
+    /// Sums of the costs of waiting short and long tickets.
     std::array<Micros, 2> PendingCost{};
   };
 
-  /// A workspace that was idle starts level with the busy ones.
+  /// Virtual time of a new flow: that of the busy flows, so that a workspace
+  /// gains no credit while it is idle.
   double startVirtualTime() const;
   void removeEmpty(const std::string &workspace);
 
--- a/src/libhickoryglade/queueorder.cpp
+++ b/src/libhickoryglade/queueorder.cpp
@@ -12,7 +12,7 @@
 constexpr std::array<std::string_view, 4> Names = {"arrival", "priority",
                                                    "time_left", "target"};
 
-/// When an answer loses part of its value.
+/// Time after which an answer loses part of its value.
 Instant targetOf(const Ticket &ticket) {
   return ticket.Target.value_or(ticket.Deadline);
 }
--- a/src/libhickoryglade/queueorder.h
+++ b/src/libhickoryglade/queueorder.h
@@ -10,25 +10,24 @@
 
 /// Order in which waiting requests of one workspace get slots.
 enum class QueueOrder {
-  /// First come, first served.
+  /// In order of arrival.
   Arrival,
   /// By rank, then by arrival.
   Priority,
-  /// By rank, then the earliest deadline.
+  /// By rank, then by the earliest deadline.
   TimeLeft,
-  /// By rank, then by when an answer loses part of its value: the calls of
-  /// running
-  /// requests, whose targets are short, go before new requests of their rank.
+  /// By rank, then by the earliest target time. Calls made by running requests
+  /// have short targets and so go before new requests of their rank.
   Target
 };
 
-/// True if one ticket goes before another that has come earlier.
+/// True if a ticket goes before another one that arrived earlier.
 bool overtakes(QueueOrder order, const Ticket &ticket, const Ticket &earlier);
 
 std::string_view toString(QueueOrder order);
 std::vector<std::string> queueOrderNames();
 
-/// The order of a name; Priority if there is none.
+/// Order with this name; Priority if the name is unknown.
 QueueOrder queueOrderOf(std::string_view name);
 
 } // namespace hickoryglade
