--- a/src/libhickoryglade/quarantine.h
+++ b/src/libhickoryglade/quarantine.h
@@ -9,8 +9,8 @@
 
 namespace hickoryglade {
 
-/// Crashes that a request's content has been present at. Each node counts
-/// those that it has seen; the sum is what counts.
+/// Crashes of endpoints that ran a request's content. Each node counts the
+/// crashes that it has seen; the rules use the sum.
 struct CrashRecord {
   std::map<std::string, int> ByNode;
   Instant Expiry;
@@ -22,39 +22,39 @@
 
 enum class QuarantineRule { Free, Serialized, Refused };
 
-/// Contents that crash the endpoints that run them, by fingerprint.
+/// Request contents that have crashed endpoints, by fingerprint.
 struct Quarantine {
   std::map<std::uint64_t, CrashRecord> Records;
   /// Fingerprints that an operator has released.
   std::vector<std::uint64_t> Released;
 };
 
-/// Crashes after which a content no longer runs.
+/// Number of crashes from which a content is refused.
 constexpr int CrashesToRefuse = 2;
 
-/// The rule for a content; its sender may know of more crashes than this
-/// node does.
+/// Rule for a content. The sender may know of more crashes than this node does.
 QuarantineRule ruleFor(const Quarantine &quarantine, std::uint64_t fingerprint,
                        Instant now, int knownCrashes = 0);
 
 void noteCrash(Quarantine &quarantine, std::uint64_t fingerprint,
                const std::string &node, Instant expiry);
 
-/// Takes a record from another node: higher counts and later expiry win.
+/// Merges a record from another node: the higher count of each node and the
+/// later expiry apply. Returns true if a count increased.
 bool mergeCrash(Quarantine &quarantine, std::uint64_t fingerprint,
                 const CrashRecord &record);
 
-/// Drops records whose time is over.
+/// Removes expired records.
 void expireCrashes(Quarantine &quarantine, Instant now);
 
 /// Time until a content may run again.
 Micros remainingQuarantine(const Quarantine &quarantine,
                            std::uint64_t fingerprint, Instant now);
 
-/// Form in which logs, reports and settings write a fingerprint.
+/// Hexadecimal form of a fingerprint in logs, reports and settings.
 std::string fingerprintName(std::uint64_t fingerprint);
 
-/// Reads that form; returns 0 for anything else.
+/// Parses that form; returns 0 if it is invalid.
 std::uint64_t parseFingerprint(const std::string &name);
 
 } // namespace hickoryglade
--- a/src/libhickoryglade/repeatbudget.cpp
+++ b/src/libhickoryglade/repeatbudget.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// The window of 10 s over which operators bound repeats, in parts.
+/// Length of a bucket; 20 of them form the window of 10 s over which operators
+/// bound repeats.
 constexpr Micros BucketDuration = std::chrono::milliseconds(500);
 
 constexpr double Percent = 100;
@@ -28,8 +29,8 @@
   ++(isRepeat ? bucket.Repeats : bucket.Firsts);
 }
 
-// Each gate keeps to its own part of the fleet's bound, so that the sum over
-// all gates keeps to the whole without any messages.
+// Each gate enforces its own part of the fleet's bound, so that the sum over
+// all gates stays within the bound without coordination.
 bool RepeatBudget::allowsRepeat(int percent, double allowance, Instant now) {
   std::int64_t oldest = indexOf(now) - std::int64_t(Buckets) + 1;
   int firsts = 0;
--- a/src/libhickoryglade/repeatbudget.h
+++ b/src/libhickoryglade/repeatbudget.h
@@ -7,15 +7,15 @@
 
 namespace hickoryglade {
 
-/// Counts what arrives at the endpoints of one service behind one gate, over a
-/// sliding window.
+/// Retry budget of one service at one gate. It counts first attempts and
+/// repeats that are sent to endpoints, over a sliding window.
 class RepeatBudget {
 public:
-  /// A request was sent to an endpoint, for the first time or again.
+  /// Counts a request that was sent to an endpoint.
   void record(bool isRepeat, Instant now);
 
-  /// True if one more repeat stays within a share of the first arrivals and a
-  /// fixed allowance.
+  /// True if one more repeat stays within a percentage of the first attempts
+  /// plus a fixed allowance.
   bool allowsRepeat(int percent, double allowance, Instant now);
 
 private:
--- a/src/libhickoryglade/startledger.h
+++ b/src/libhickoryglade/startledger.h
@@ -8,11 +8,11 @@
 
 namespace hickoryglade {
 
-/// What a gate knows about an attempt.
+/// State of an attempt at a gate.
 enum class StartState { Unseen, Waiting, Started, Finished, Fenced };
 
-/// A gate's first-hand record of what it has started, kept until no late
-/// copy of an attempt can be taken for a fresh one.
+/// Records which attempts a gate has queued, started or fenced. A record is
+/// kept until late copies of its attempt can no longer arrive.
 class StartLedger {
 public:
   StartState stateOf(const std::string &attempt) const;
@@ -20,15 +20,16 @@
   /// Notes that an attempt waits for a slot.
   void noteWaiting(const std::string &attempt, Instant forgetAt);
 
-  /// Returns false, and changes nothing, if the attempt must not start.
+  /// Marks an attempt as started. Returns false and changes nothing if it must
+  /// not start.
   bool tryStart(const std::string &attempt, Instant forgetAt);
 
   void noteFinished(const std::string &attempt);
 
-  /// Fences an attempt that has not started; returns the state thereafter.
+  /// Fences an attempt that has not started; returns its resulting state.
   StartState revoke(const std::string &attempt, Instant forgetAt);
 
-  /// Drops entries whose time is over.
+  /// Removes expired records.
   void forget(Instant now);
 
   std::size_t size() const { return Records.size(); }
--- a/src/libhickoryglade/waitforecast.cpp
+++ b/src/libhickoryglade/waitforecast.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// Shorter waits say nothing about the ratio.
+/// Shorter waits are rounded up to this, since they would distort the ratio.
 constexpr Micros MinWait = std::chrono::milliseconds(10);
 
-/// Weight of the latest wait; most of the ratio is from the last ten.
+/// Weight of the latest wait in the moving average; most of the average comes
+/// from the last ten waits.
 constexpr double LatestWeight = 0.2;
 
-/// Bounds the ratio, which grows without end while a queue stands still.
+/// Bounds the ratio, which would grow without limit while a queue is stuck.
 constexpr double MaxRatio = 50;
 
-/// What was seen longer ago than this says nothing any more.
+/// A ratio whose latest wait is older than this is discarded.
 constexpr Micros MaxRatioAge = std::chrono::seconds(2);
 
 } // namespace
--- a/src/libhickoryglade/waitforecast.h
+++ b/src/libhickoryglade/waitforecast.h
@@ -6,12 +6,12 @@
 
 namespace hickoryglade {
 
-/// Corrects the wait that the length of a queue promises by how long requests
-/// have really waited of late: less urgent ones are overtaken by those that
-/// come after them.
+/// Corrects waits that are estimated from the length of a queue by the ratio of
+/// recent actual waits to their estimates. Less urgent requests wait longer
+/// than estimated, since more urgent ones that arrive later overtake them.
 class WaitForecast {
 public:
-  /// A request of a rank has left the queue after this time.
+  /// Records the actual wait of a request that has left the queue.
   void record(int rank, Micros estimated, Micros waited, Instant now);
 
   Micros correct(int rank, Micros estimated, Instant now) const;
