--- a/src/libhickoryglade/admissionpolicy.h
+++ b/src/libhickoryglade/admissionpolicy.h
@@ -10,11 +10,11 @@
 struct AdmissionInput {
   std::size_t Queued = 0;
   std::size_t QueueLimit = 0;
-  /// Slots of the service's endpoints that take work at this gate.
+  /// Slots of this gate's endpoints that requests of this class may hold.
   int Slots = 0;
-  /// Slot time of the waiting requests that would run before this one.
+  /// Slot time of the running and waiting requests ahead of this one.
   Micros CostAhead{0};
-  /// Slot time that this request is expected to take.
+  /// Expected slot time of this request.
   Micros Cost{0};
   Micros TimeLeft{0};
   /// Longest wait that the settings allow.
@@ -30,8 +30,8 @@
   bool operator==(const AdmissionDecision &) const = default;
 };
 
-/// Decides whether a request may wait. Registered under the names that
-/// settings use.
+/// Decides whether a request may wait. Policies are registered under the names
+/// that the settings use.
 struct AdmissionPolicy {
   AdmissionDecision (*Admit)(const AdmissionInput &input);
 };
--- a/src/libhickoryglade/gateaction.h
+++ b/src/libhickoryglade/gateaction.h
@@ -10,7 +10,7 @@
 
 namespace hickoryglade {
 
-/// The attempt may be sent to the endpoint now.
+/// Send the attempt to the endpoint now.
 struct StartAction {
   std::string AttemptId;
   std::string Endpoint;
@@ -18,7 +18,7 @@
   bool operator==(const StartAction &) const = default;
 };
 
-/// A slot is held until the attempt's body arrives.
+/// Report that a slot is held until the attempt's body arrives.
 struct GrantAction {
   std::string AttemptId;
   std::string Endpoint;
@@ -26,7 +26,7 @@
   bool operator==(const GrantAction &) const = default;
 };
 
-/// The attempt will not run here.
+/// Report that the attempt will not run here.
 struct RefuseAction {
   std::string AttemptId;
   Error Reason;
@@ -34,7 +34,7 @@
   bool operator==(const RefuseAction &) const = default;
 };
 
-/// A running attempt is given up: close its connection and answer.
+/// Abort a running attempt: close its connection and answer with the error.
 struct AbortAction {
   std::string AttemptId;
   Error Reason;
@@ -42,7 +42,7 @@
   bool operator==(const AbortAction &) const = default;
 };
 
-/// An endpoint's standing has changed; members should hear of it.
+/// Announce an endpoint's changed standing to the other members.
 struct StandingAction {
   std::string Endpoint;
   Standing State = Standing::Healthy;
@@ -51,7 +51,7 @@
   bool operator==(const StandingAction &) const = default;
 };
 
-/// The gate wants an ejection lease for a sick endpoint, or no longer.
+/// Acquire an ejection lease for an unhealthy endpoint, or give it up.
 struct EjectionAction {
   std::string Endpoint;
   std::string Service;
@@ -60,7 +60,7 @@
   bool operator==(const EjectionAction &) const = default;
 };
 
-/// A request's content was running when an endpoint crashed.
+/// Report that an endpoint crashed while it ran a request with this content.
 struct CrashAction {
   std::uint64_t Fingerprint = 0;
   std::string Service;
--- a/src/libhickoryglade/healthpolicy.h
+++ b/src/libhickoryglade/healthpolicy.h
@@ -7,22 +7,22 @@
 
 namespace hickoryglade {
 
-/// What a gate has seen of an endpoint, first hand.
+/// A gate's own observations of an endpoint, input of a health policy.
 struct EndpointEvidence {
   int Running = 0;
-  /// Running requests that have taken much longer than entries have seen
-  /// such requests take anywhere in the fleet.
+  /// Running requests that have taken much longer than such requests take
+  /// elsewhere in the fleet.
   int Overdue = 0;
-  /// Greatest time by which a running request has passed its expected time.
+  /// Longest time by which a running request is overdue.
   Micros MaxOverdue{0};
   Micros SinceCompletion{0};
-  /// Log of how much likelier the running requests' silence is of an endpoint
-  /// that hangs on most of its work than of one that is well.
+  /// Log-likelihood ratio of the running requests' lack of answers: of an
+  /// endpoint that hangs on most requests against a healthy one.
   double HangLogOdds = 0;
   int ConsecutiveFailures = 0;
-  /// Refusals in a row though the endpoint had a slot free.
+  /// Consecutive refusals by the endpoint although it had a free slot.
   int ConsecutiveSheds = 0;
-  /// False once nothing has been found listening at its address.
+  /// False after an attempt found nothing listening at its address.
   bool IsListening = true;
 
   bool operator==(const EndpointEvidence &) const = default;
@@ -33,13 +33,14 @@
 struct HealthAssessment {
   HealthVerdict Verdict = HealthVerdict::Healthy;
   std::string Reason;
-  /// Its overdue idempotent work is better run elsewhere until it answers.
+  /// True if its overdue idempotent requests should be retried elsewhere.
   bool IsHanging = false;
 
   bool operator==(const HealthAssessment &) const = default;
 };
 
-/// Judges evidence. Registered under the names that settings use.
+/// Assesses an endpoint's health from evidence. Policies are registered under
+/// the names that the settings use.
 struct HealthPolicy {
   HealthAssessment (*Assess)(const EndpointEvidence &evidence,
                              const ServicePolicy &policy);
--- a/src/libhickoryglade/standing.h
+++ b/src/libhickoryglade/standing.h
@@ -4,22 +4,22 @@
 
 namespace hickoryglade {
 
-/// What a gate thinks of one of its endpoints. Values are part of the
+/// Health state of an endpoint, as its gate sees it. The values are part of the
 /// protocol between nodes.
 enum class Standing {
-  /// Takes work.
+  /// Takes requests.
   Healthy,
-  /// Takes work only where no healthy endpoint can.
+  /// Takes requests only if no healthy endpoint can.
   Suspect,
-  /// Takes no work; holds an ejection lease.
+  /// Takes no requests; its gate holds an ejection lease for it.
   Ejected,
-  /// Takes one request at a time to show that it has recovered.
+  /// Takes one request at a time, to find out whether it has recovered.
   Trial,
-  /// Finishes what it runs and takes nothing new.
+  /// Finishes running requests and takes no new ones.
   Draining,
 };
 
-/// Place among standings, the best first: a gate counts as its best endpoint.
+/// Rank of a standing, 0 for the best. A gate is ranked as its best endpoint.
 int rankOf(Standing state);
 
 std::string_view toString(Standing standing);
--- a/src/libhickoryglade/ticket.h
+++ b/src/libhickoryglade/ticket.h
@@ -8,50 +8,51 @@
 
 namespace hickoryglade {
 
-/// A request as a gate sees it before the body: who asks for what, until
-/// when, and at what expected cost.
+/// A request without its body: origin, service, deadline and expected cost, by
+/// which a gate decides whether and when it may run.
 struct Ticket {
-  /// Request id and attempt number: "id/1". Never used twice.
+  /// Request id and attempt number, as in "id/1". Never reused.
   std::string AttemptId;
   std::string Workspace;
   /// Qualified service name.
   std::string Service;
   Instant Deadline;
-  /// Until when an answer has its full value to the caller, if its entry says.
+  /// Time until which an answer has its full value to the caller, if the entry
+  /// gives one.
   std::optional<Instant> Target;
-  /// Slot time that entries have seen such requests take.
+  /// Slot time that entries have learned for such requests.
   Micros ExpectedCost{0};
   bool IsLong = false;
   bool IsIdempotent = false;
-  /// Hash of the request's content; equal for a resent copy.
+  /// Hash of the request's content; equal for copies of a request.
   std::uint64_t Fingerprint = 0;
-  /// Endpoints that this very request has crashed on its way here.
+  /// Number of endpoints that earlier attempts of this request have crashed.
   int KnownCrashes = 0;
-  /// True if a free slot is to be held for a claim instead of started.
+  /// True if a free slot is held until a claim, instead of starting at once.
   bool AwaitsClaim = false;
-  /// True if the request is not to wait for a slot.
+  /// True if the request must not wait for a slot.
   bool OnlyIfFree = false;
-  /// True if an endpoint has seen the request before.
+  /// True if an earlier attempt has reached an endpoint.
   bool IsRepeat = false;
   /// True if the entry knows that the endpoint is doubtful or on trial.
   bool AcceptsDoubtful = false;
-  /// True if it may go to an endpoint whose running work is silent for longer
-  /// than usual, as others were silent too.
+  /// True if it may go to an endpoint whose running requests take longer than
+  /// usual, since this was so at other gates too.
   bool AcceptsSilent = false;
-  /// True if it comes because endpoints in good standing have no slot free.
+  /// True if it was routed here since healthy endpoints have no free slot.
   bool IsSpill = false;
-  /// True if its entry has sent it to the one gate at which all copies of
-  /// suspect content meet.
+  /// True if its entry has routed it to the gate that serializes all copies of
+  /// its suspect content.
   bool IsSerialized = false;
-  /// Rank among requests that compete for a slot; 0 goes first.
+  /// Rank among requests that compete for a slot; 0 is served first.
   int Priority = 0;
-  /// True if no other endpoint may be tried after this one.
+  /// True if the request cannot be retried at another endpoint.
   bool IsLastTry = false;
 
-  /// Longest wait that its entry allows; nothing if it leaves that to the gate.
+  /// Longest wait that the entry allows; the gate's settings apply if empty.
   std::optional<Micros> MaxWait;
 
-  /// Set by the gate when it lets the request wait.
+  /// Set by the gate when it queues the request.
   Instant WaitingSince;
   Micros EstimatedWait{0};
 
