--- a/tests/kernel/test_hang.cpp
+++ b/tests/kernel/test_hang.cpp
@@ -136,10 +136,11 @@
   lookup.Deadline = at(100 + 7 * Cost / 2);
   offer(gate, lookup, at(100));
   offer(gate, ticket("b", true), at(100));
-  std::vector<std::string> given;
+  std::vector<std::string> abortedIds;
   for (int ms = 150; ms < 100 + 5 * Cost / 2; ms += 50)
-    std::ranges::move(aborted(tick(gate, at(ms))), std::back_inserter(given));
-  CHECK(std::ranges::find(given, "lookup") != given.end());
+    std::ranges::move(aborted(tick(gate, at(ms))),
+                      std::back_inserter(abortedIds));
+  CHECK(std::ranges::find(abortedIds, "lookup") != abortedIds.end());
 }
 
 // The load that this answers: orders that may run only once, at endpoints of
