--- a/tests/kernel/test_decisions.cpp
+++ b/tests/kernel/test_decisions.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("every error kind has its own row in the table") {
+TEST_CASE("the error table has a row for every error kind") {
   for (int i = 0; i <= int(ErrorKind::SlotTaken); ++i) {
     auto kind = static_cast<ErrorKind>(i);
     CHECK(answerFor(kind).Kind == kind);
@@ -49,7 +49,7 @@
   CHECK(errorKindFromWire(-1) == ErrorKind::Internal);
 }
 
-TEST_CASE("work that may have run moves only if it is idempotent") {
+TEST_CASE("a request that may have run is retried only if it is idempotent") {
   RetryBudget budget;
   CHECK(retry(ErrorKind::GateLost, RunState::Unknown, false, budget).Verdict ==
         RetryVerdict::GiveUp);
@@ -69,7 +69,7 @@
   CHECK(n == 100);
 }
 
-TEST_CASE("routers leave out silent paths and sick endpoints") {
+TEST_CASE("routers skip unreachable gates and suspect endpoints") {
   std::vector<Candidate> all{candidate("a", 3), candidate("b", 3),
                              candidate("c", 1)};
   all[0].IsPathUp = false;
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_CASE("suspects serve where no healthy endpoint can") {
+TEST_CASE("suspect endpoints are used if no healthy one exists") {
   std::vector<Candidate> all{candidate("a", 3)};
   all[0].State = Standing::Suspect;
   CHECK(plan("two_choices", all).Targets.size() == 1);
@@ -89,7 +89,7 @@
   CHECK(plan("two_choices", all).Targets.empty());
 }
 
-TEST_CASE("copies of a suspicious request meet at one gate") {
+TEST_CASE("all copies of a serialized request are routed to one gate") {
   std::vector<Candidate> all{candidate("a", 3), candidate("b", 3),
                              candidate("c", 3)};
   RouteQuestion question;
@@ -102,7 +102,7 @@
   CHECK(first[0] == 2 - second[0]);
 }
 
-TEST_CASE("tickets are left only where no free slot is known") {
+TEST_CASE("tickets are sent only if no free slot is known") {
   std::vector<Candidate> all{candidate("a", 0), candidate("b", 1),
                              candidate("c", 0)};
   CHECK(!plan("tickets", all).AwaitsGrant);
@@ -112,7 +112,8 @@
   CHECK(it.Targets.size() == 3);
 }
 
-TEST_CASE("costs are learned by route and size, within bounds") {
+TEST_CASE(
+    "costs are learned by route and size, for a bounded number of classes") {
   CostModel model(2);
   CostClass small{"/w/s/r", "GET", 10};
   CostClass large{"/w/s/r", "GET", 1'000'000};
--- a/tests/kernel/test_doubt.cpp
+++ b/tests/kernel/test_doubt.cpp
@@ -30,7 +30,8 @@
   return it;
 }
 
-/// A gate that is one of several of its service and doubts after one failure.
+/// One of several gates of a service; an endpoint becomes suspect after one
+/// failure.
 Gate strictGate() {
   Gate gate;
   gate.Services["w/s"].Policy.FailuresForDoubt = 1;
@@ -48,7 +49,7 @@
   });
 }
 
-/// Reason of the first refusal; nothing if there is none.
+/// Error kind of the first refusal; nothing if there is none.
 std::optional<ErrorKind> refusal(const GateActions &actions) {
   for (const GateAction &it : actions)
     if (const auto *refused = std::get_if<RefuseAction>(&it))
@@ -68,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("one failure turns work away before it is sent") {
+TEST_CASE("after one failure, requests are refused before they are sent") {
   Gate gate = strictGate();
   failOnce(gate, 10);
   CHECK(standingOf(gate) == Standing::Suspect);
@@ -77,7 +78,7 @@
   CHECK(isFreeRetry(ErrorKind::EndpointDoubtful));
 }
 
-TEST_CASE("an entry without another choice is served by a doubtful endpoint") {
+TEST_CASE("a doubtful endpoint serves an entry that accepts doubtful ones") {
   Gate gate = strictGate();
   failOnce(gate, 10);
   Ticket last = ticket("1", false);
@@ -85,7 +86,7 @@
   CHECK(isStarted(offer(gate, last, at(20))));
 }
 
-TEST_CASE("waiting work goes elsewhere when its endpoint becomes doubtful") {
+TEST_CASE("waiting requests are refused when their endpoint becomes doubtful") {
   Gate gate = strictGate();
   for (const char *id : {"1", "2", "3"})
     REQUIRE(isStarted(offer(gate, ticket(id), at(0))));
@@ -94,7 +95,8 @@
   CHECK(refusal(actions) == ErrorKind::EndpointDoubtful);
 }
 
-TEST_CASE("work spills to an endpoint that answers, not to one that fails") {
+TEST_CASE(
+    "requests spill over to a doubtful endpoint unless it keeps failing") {
   Gate gate = strictGate();
   failOnce(gate, 10);
   Ticket spill = ticket("1");
@@ -109,7 +111,7 @@
   CHECK(isStarted(offer(gate, last, at(50))));
 }
 
-TEST_CASE("one answer among failures does not clear an endpoint") {
+TEST_CASE("one answer after many failures does not make an endpoint healthy") {
   Gate gate = strictGate();
   for (int ms : {10, 15, 20, 25, 30})
     failOnce(gate, ms);
@@ -125,7 +127,7 @@
   CHECK(standingOf(other) == Standing::Healthy);
 }
 
-TEST_CASE("after a rest, idempotent work tries a doubtful endpoint") {
+TEST_CASE("after its rest, a doubtful endpoint is tried with idempotent work") {
   Gate gate = strictGate();
   failOnce(gate, 0);
   tick(gate, at(400));
@@ -139,7 +141,7 @@
   CHECK(standingOf(gate) == Standing::Healthy);
 }
 
-TEST_CASE("rests stay short enough for an endpoint that recovers") {
+TEST_CASE("the rest before a trial is bounded by the settings") {
   ServicePolicy policy;
   policy.FirstRest = Millis(500);
   policy.MostRest = Millis(1'500);
@@ -148,7 +150,7 @@
   CHECK(restBeforeTrial(policy, 50) == Millis(1'500));
 }
 
-TEST_CASE("an endpoint that nobody tries is taken for healthy") {
+TEST_CASE("an endpoint on trial that gets no request becomes healthy") {
   Gate gate = strictGate();
   failOnce(gate, 0);
   tick(gate, at(500));
@@ -159,7 +161,7 @@
   CHECK(standingOf(gate) == Standing::Healthy);
 }
 
-TEST_CASE("a relapse asks for more than one good answer") {
+TEST_CASE("after a relapse, a trial needs more than one successful answer") {
   Gate gate = strictGate();
   failOnce(gate, 0);
   tick(gate, at(500));
@@ -176,7 +178,7 @@
   CHECK(standingOf(gate) == Standing::Healthy);
 }
 
-TEST_CASE("an endpoint that sheds again and again with room left is doubtful") {
+TEST_CASE("an endpoint that sheds repeatedly with free slots is doubtful") {
   Gate gate = strictGate();
   for (const char *id : {"1", "2", "3"}) {
     CHECK(standingOf(gate) == Standing::Healthy);
@@ -186,10 +188,10 @@
   CHECK(standingOf(gate) == Standing::Suspect);
 }
 
-// The load that this answers: most endpoints of a service look ill at once, and
-// the few others cannot take all of its work.
+// Guards against overload of the healthy endpoints when most endpoints of a
+// service are doubtful at once, so that the others cannot take all requests.
 TEST_CASE(
-    "idempotent work uses doubtful endpoints when no healthy one is free") {
+    "idempotent requests use doubtful endpoints if no healthy one is free") {
   auto candidate = [](const std::string &node, Standing state, int freeSlots) {
     Candidate it;
     it.Node = node;
@@ -214,7 +216,7 @@
     CHECK(eligible(all, question, rng) != std::vector<std::size_t>{1});
 }
 
-TEST_CASE("a gate keeps to its part of the fleet's retries") {
+TEST_CASE("a gate enforces its part of the fleet's retry budget") {
   Gate gate = strictGate();
   gate.Services["w/s"].Policy.RetryBudgetPercent = 20;
   gate.Services["w/s"].Policy.RetryAllowance = 8;
@@ -232,13 +234,15 @@
     CHECK(send("first-" + std::to_string(i), false, 1'000));
   for (int i = 0; i < 10; ++i)
     started += send("again-" + std::to_string(i), true, 1'010);
-  // A fifth of ten, and a quarter of eight.
+  // 20 % of ten first attempts, plus a quarter of the allowance of eight, as
+  // there are four gates.
   CHECK(started == 4);
   announce(gate, endpoint("e"), at(12'000));
   CHECK(send("later", true, 12'000));
 }
 
-TEST_CASE("a gate that is cut off does not take a larger part of the retries") {
+TEST_CASE(
+    "a partitioned gate does not take a larger part of the retry budget") {
   Gate gate = strictGate();
   GateService &service = gate.Services["w/s"];
   service.Policy.RetryBudgetPercent = 0;
@@ -255,9 +259,9 @@
   CHECK(started == 2);
 }
 
-// The load that this answers: a service fails because another one that it calls
-// sheds; each retry would make all the calls again.
-TEST_CASE("few reports of an error are tried again") {
+// Guards against retry amplification: a service fails since another one that it
+// calls sheds load, and each retry would repeat all of its calls.
+TEST_CASE("only few answers that report an error are retried") {
   RetryBudget errors = makeErrorBudget();
   int retries = 0;
   for (int i = 0; i < 100; ++i) {
@@ -268,7 +272,7 @@
   CHECK(retries >= 3);
 }
 
-TEST_CASE("a copy under way when its content becomes suspect is turned away") {
+TEST_CASE("a waiting copy is refused when its content becomes suspect") {
   Gate gate = strictGate();
   for (const char *id : {"1", "2", "3"})
     REQUIRE(isStarted(offer(gate, ticket(id), at(0))));
@@ -277,7 +281,7 @@
   REQUIRE_FALSE(refusal(offer(gate, waiting, at(1))));
   CrashRecord elsewhere{{{"other", 1}}, at(60'000)};
   REQUIRE(mergeCrash(gate.Crashes, 99, elsewhere));
-  // Past the time in which news of other copies settles.
+  // The settle delay for crash reports of other copies has elapsed.
   tick(gate, at(50));
   tick(gate, at(250));
   auto actions = complete(gate, "1", AttemptOutcome::Answered, at(300));
@@ -285,7 +289,7 @@
   CHECK(refusal(actions) == ErrorKind::ContentSuspect);
 }
 
-TEST_CASE("late announcements do not bring an endpoint back") {
+TEST_CASE("late announcements do not restore an endpoint that has left") {
   Gate gate;
   announce(gate, endpoint("e", 100, 5), at(0));
   Announcement draining = endpoint("e", 100, 7);
@@ -300,9 +304,10 @@
   CHECK(standingOf(gate) == Standing::Healthy);
 }
 
-// The gate's process starts again between an endpoint's leaving and a late
-// announcement of it; other members remember what it said of itself.
-TEST_CASE("after a restart an endpoint that had left stays away") {
+// The gate's process restarts between the departure of an endpoint and a late
+// announcement of it. The restarted gate gets its departed records back from
+// other members.
+TEST_CASE("a restarted gate does not restore an endpoint that has left") {
   Gate before;
   announce(before, endpoint("e", 100, 5), at(0));
   withdraw(before, "e", at(10));
@@ -314,14 +319,14 @@
   CHECK(after.Endpoints.empty());
   announce(after, endpoint("e", 200, 1), at(1'020));
   CHECK(standingOf(after) == Standing::Healthy);
-  // The announcement may come before the others' word.
+  // The late announcement may arrive before the departed records.
   Gate late;
   announce(late, endpoint("e", 100, 4), at(1'000));
   noteDeparted(late, {"e", 100}, at(1'050));
   CHECK(late.Endpoints.empty());
 }
 
-TEST_CASE("the newer of two endpoints at one address is the one there") {
+TEST_CASE("of two endpoints at one address, the newer one replaces the older") {
   Gate gate;
   announce(gate, endpoint("old", 100, 9), at(0));
   announce(gate, endpoint("new", 200, 1), at(10));
@@ -331,7 +336,7 @@
   CHECK(gate.Endpoints.contains("new"));
 }
 
-TEST_CASE("a status promises that nothing has run only if that is so") {
+TEST_CASE("status 503 is used only if the request has not run") {
   for (ErrorKind kind :
        {ErrorKind::NoEndpoint, ErrorKind::Overloaded, ErrorKind::EndpointShed,
         ErrorKind::RetriesExhausted, ErrorKind::DeadlineExceeded,
@@ -342,7 +347,7 @@
   }
 }
 
-TEST_CASE("endpoints that may have run a request count towards its limit") {
+TEST_CASE("attempts that may have run count towards the limit of runs") {
   RetryBudget budget;
   RetryQuestion question{makeError(ErrorKind::EndpointFailed), true, 2,
                          milliseconds(500), milliseconds(10)};
--- a/tests/kernel/test_gate.cpp
+++ b/tests/kernel/test_gate.cpp
@@ -48,7 +48,7 @@
   return gate;
 }
 
-/// Keeps announcing until a time, ticking on the way.
+/// Ticks every 50 ms and announces the endpoint every second, until a time.
 GateActions advance(Gate &gate, const std::string &name, int fromMs, int toMs) {
   GateActions all;
   for (int t = fromMs; t <= toMs; t += 50) {
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("slots are counted exactly and waiting work starts in order") {
+TEST_CASE("slots are counted exactly and waiting requests start in order") {
   Gate gate = gateWith("e");
   for (int i = 0; i < 3; ++i)
     CHECK(count<StartAction>(offer(gate, ticket(std::to_string(i)), at(1))) ==
@@ -71,7 +71,7 @@
   CHECK(first<StartAction>(next).AttemptId == "3");
 }
 
-TEST_CASE("a granted slot is held for the body and lapses without it") {
+TEST_CASE("a granted slot is held for the body and released without it") {
   Gate gate = gateWith("e");
   Ticket it = ticket("1");
   it.AwaitsClaim = true;
@@ -100,7 +100,7 @@
   CHECK(count<StartAction>(offer(gate, ticket("1"), at(6))) == 0);
 }
 
-TEST_CASE("a draining or silent endpoint gets no new work") {
+TEST_CASE("a draining or unannounced endpoint gets no new requests") {
   Gate gate = gateWith("e");
   Announcement leaving = endpoint("e");
   leaving.IsDraining = true;
@@ -110,7 +110,7 @@
   CHECK(count<StartAction>(offer(silent, ticket("1"), at(2'000))) == 0);
 }
 
-TEST_CASE("a stall is noticed within two seconds, its work handed back") {
+TEST_CASE("a stall is detected within two seconds and its requests aborted") {
   Gate gate = gateWith("e");
   for (int i = 0; i < 3; ++i) {
     offer(gate, ticket("w" + std::to_string(i)), at(0));
@@ -124,7 +124,7 @@
   CHECK(first<EjectionAction>(actions).IsWanted);
 }
 
-TEST_CASE("a long request is not taken for a stall") {
+TEST_CASE("a long request does not count as a stall") {
   Gate gate = gateWith("e");
   for (int i = 0; i < 3; ++i) {
     offer(gate, ticket("w" + std::to_string(i)), at(0));
@@ -138,7 +138,7 @@
   CHECK(count<StandingAction>(actions) == 0);
 }
 
-TEST_CASE("readmission slows down with each relapse") {
+TEST_CASE("the rest before a trial doubles with each relapse, up to a bound") {
   CHECK(restBeforeTrial(ServicePolicy{}, 1) ==
         2 * restBeforeTrial(ServicePolicy{}, 0));
   CHECK(restBeforeTrial(ServicePolicy{}, 4) ==
@@ -147,7 +147,7 @@
         restBeforeTrial(ServicePolicy{}, 6));
 }
 
-TEST_CASE("an ejection ends by itself when its lease does") {
+TEST_CASE("an ejection ends when its lease expires") {
   Gate gate = gateWith("e");
   for (int i = 0; i < 6; ++i) {
     offer(gate, ticket(std::to_string(i)), at(i));
@@ -160,7 +160,7 @@
   CHECK(first<StandingAction>(actions).State == Standing::Suspect);
 }
 
-TEST_CASE("a content that crashed two endpoints is refused") {
+TEST_CASE("a content that has crashed two endpoints is refused") {
   Gate gate = gateWith("e");
   offer(gate, ticket("1"), at(0));
   CHECK(count<CrashAction>(
@@ -178,7 +178,7 @@
   CHECK(count<StartAction>(offer(gate, ticket("5"), at(302))) == 1);
 }
 
-TEST_CASE("work whose deadline passes in the queue is refused, not run") {
+TEST_CASE("a request whose deadline passes in the queue is refused, not run") {
   Gate gate = gateWith("e");
   gate.Services["w/s"].Policy.Admission = "queue_limit";
   for (int i = 0; i < 3; ++i)
@@ -190,7 +190,7 @@
             complete(gate, "0", AttemptOutcome::Answered, at(110))) == 0);
 }
 
-TEST_CASE("a wait that does not fit into the deadline is refused at once") {
+TEST_CASE("a request that would wait past its deadline is refused at once") {
   Gate gate = gateWith("e");
   for (int i = 0; i < 40; ++i)
     offer(gate, ticket(std::to_string(i)), at(0));
@@ -200,7 +200,7 @@
   CHECK(reason.RetryAfter.count() > 0);
 }
 
-TEST_CASE("one workspace cannot keep another from the slots") {
+TEST_CASE("one workspace cannot starve another") {
   Gate gate = gateWith("e");
   for (int i = 0; i < 30; ++i)
     offer(gate, ticket("greedy" + std::to_string(i)), at(0));
@@ -225,7 +225,8 @@
   CHECK(count<StartAction>(offer(gate, ticket("short"), at(1))) == 1);
 }
 
-TEST_CASE("a gate that wakes from a pause hears the news before it starts") {
+TEST_CASE(
+    "after a pause, a gate waits for crash records before it starts work") {
   Gate gate = gateWith("e");
   tick(gate, at(0));
   announce(gate, endpoint("e"), at(3'000));
@@ -238,7 +239,7 @@
         ErrorKind::Quarantined);
 }
 
-TEST_CASE("an endpoint that does not listen is left alone at once") {
+TEST_CASE("an endpoint that does not listen is avoided at once") {
   Gate gate = gateWith("e");
   announce(gate, endpoint("f"), at(0));
   offer(gate, ticket("1"), at(0));
--- a/tests/kernel/test_hang.cpp
+++ b/tests/kernel/test_hang.cpp
@@ -8,8 +8,9 @@
 using namespace hickoryglade;
 using std::chrono::milliseconds;
 
-// The load that these answer: requests of a second with targets of three, at
-// endpoints of which a third hangs on most of its work for some seconds.
+// These tests guard against late detection of hangs: requests take a second and
+// have targets of three, and a third of the endpoints hangs on most requests
+// for some seconds.
 
 namespace {
 
@@ -17,7 +18,8 @@
 
 constexpr int Cost = 800;
 
-/// A gate, one of several, whose endpoint has answered some requests.
+/// One of several gates of a service; its endpoint has completed enough
+/// requests to count as warm.
 Gate warmGate() {
   Gate gate;
   GateService &service = gate.Services["w/s"];
@@ -54,7 +56,8 @@
 
 Standing standingOf(const Gate &gate) { return gate.Endpoints.at("e").State; }
 
-/// First time at which the endpoint is doubtful; nothing if it never is.
+/// Time in milliseconds at which the endpoint becomes doubtful; nothing if it
+/// does not.
 std::optional<int> doubtfulAt(Gate &gate, int from, int until) {
   for (int ms = from; ms <= until; ms += 50) {
     tick(gate, at(ms));
@@ -74,7 +77,8 @@
 
 } // namespace
 
-TEST_CASE("two silent requests make an endpoint doubtful within their target") {
+TEST_CASE(
+    "two hanging requests make an endpoint doubtful before their target") {
   Gate gate = warmGate();
   offer(gate, ticket("a", false), at(100));
   offer(gate, ticket("b", false), at(100));
@@ -84,7 +88,7 @@
   CHECK(*since > 100 + Cost);
 }
 
-TEST_CASE("a request that runs long among others that complete is no hang") {
+TEST_CASE("one long request among others that complete is not a hang") {
   Gate gate = warmGate();
   offer(gate, ticket("long", false), at(100));
   for (int i = 0; i < 6; ++i) {
@@ -98,7 +102,7 @@
 }
 
 TEST_CASE(
-    "work at an endpoint that is well is not given up at its usual time") {
+    "requests at a healthy endpoint are not aborted at their expected time") {
   Gate gate = warmGate();
   offer(gate, ticket("a", true), at(100));
   offer(gate, ticket("b", true), at(100));
@@ -108,7 +112,7 @@
   CHECK(aborted(actions).empty());
 }
 
-TEST_CASE("hanging work that may be repeated is handed back, but no last try") {
+TEST_CASE("hanging idempotent requests are aborted, except for a last try") {
   Gate gate = warmGate();
   Ticket last = ticket("last", true);
   last.IsLastTry = true;
@@ -128,9 +132,9 @@
   CHECK(gate.EndpointByAttempt.contains("last"));
 }
 
-// The load that this answers: lookups of a second whose callers allow six. By
-// the time that one is known to hang, less than twice its run time is left.
-TEST_CASE("hanging work with time for one more run is handed back") {
+// Lookups take a second and have deadlines of six. When a hang is detected,
+// less than twice the run time is left.
+TEST_CASE("hanging requests with time for one more run are aborted") {
   Gate gate = warmGate();
   Ticket lookup = ticket("lookup", true);
   lookup.Deadline = at(100 + 7 * Cost / 2);
@@ -143,9 +147,9 @@
   CHECK(std::ranges::find(abortedIds, "lookup") != abortedIds.end());
 }
 
-// The load that this answers: orders that may run only once, at endpoints of
-// which some have just begun to hang.
-TEST_CASE("work that may run only once avoids a silent endpoint") {
+// Guards against sending orders, which may run only once, to endpoints that
+// have just begun to hang.
+TEST_CASE("a request that is not idempotent avoids a silent endpoint") {
   Gate gate = warmGate();
   gate.Services["w/s"].Policy.AvoidsSilent = true;
   offer(gate, ticket("a", false), at(100));
@@ -173,9 +177,9 @@
   CHECK_FALSE(refusalOf(ticket("after answers", false), silent));
 }
 
-// A node that stops keeps its work where it runs, and work that has no time for
-// another run gains nothing by being broken off.
-TEST_CASE("hanging work stays where another try cannot help") {
+// An entry on a node that stops does not retry requests, and a request without
+// time for another run gains nothing from an abort.
+TEST_CASE("hanging requests are not aborted where a retry cannot help") {
   Gate gate = warmGate();
   Ticket late = ticket("late", true);
   late.Deadline = at(100 + 3 * Cost);
@@ -191,7 +195,7 @@
   CHECK(gate.EndpointByAttempt.contains("kept"));
 }
 
-TEST_CASE("an endpoint is tried although a request hangs from before") {
+TEST_CASE("an endpoint goes on trial although an older request still hangs") {
   Gate gate = warmGate();
   offer(gate, ticket("a", false), at(100));
   offer(gate, ticket("b", false), at(100));
@@ -205,7 +209,7 @@
   offer(gate, trial, at(*since + 650));
   complete(gate, "trial", AttemptOutcome::Answered, at(*since + 650 + Cost));
   CHECK(standingOf(gate) == Standing::Healthy);
-  // What hangs from before no longer counts.
+  // Requests that started before the trial are no longer evidence.
   tick(gate, at(*since + 700 + Cost));
   CHECK(standingOf(gate) == Standing::Healthy);
   tick(gate, at(9'900));
@@ -214,7 +218,7 @@
   CHECK(standingOf(gate) == Standing::Healthy);
 }
 
-TEST_CASE("an endpoint on trial turns others away at the price of a message") {
+TEST_CASE("an endpoint on trial refuses requests that are not idempotent") {
   Gate gate = warmGate();
   gate.Endpoints.at("e").State = Standing::Trial;
   gate.Endpoints.at("e").StateSince = at(100);
@@ -228,7 +232,7 @@
   }
 }
 
-TEST_CASE("a last try is no trial of an endpoint") {
+TEST_CASE("a last try is not sent to an endpoint on trial") {
   Gate gate = warmGate();
   gate.Endpoints.at("e").State = Standing::Trial;
   gate.Endpoints.at("e").StateSince = at(100);
@@ -243,9 +247,9 @@
   CHECK(gate.EndpointByAttempt.contains("first"));
 }
 
-// The load that this answers: a service whose slots are filled by new requests
-// while running ones of the same rank call it.
-TEST_CASE("of one rank, what must be answered first goes first") {
+// Guards against delays of calls by running requests to a service whose slots
+// are filled by new requests of the same rank.
+TEST_CASE("within a rank, the request with the earliest target goes first") {
   Gate gate = warmGate();
   gate.Services["w/s"].Policy.Order = QueueOrder::Target;
   for (int i = 0; i < 7; ++i)
@@ -260,7 +264,7 @@
   CHECK_FALSE(gate.EndpointByAttempt.contains("new"));
 }
 
-TEST_CASE("settings say how many refusals make an endpoint doubtful") {
+TEST_CASE("the settings set how many sheds make an endpoint doubtful") {
   Gate gate = warmGate();
   gate.Services["w/s"].Policy.ShedsForDoubt = 1;
   offer(gate, ticket("1", false), at(100));
@@ -268,13 +272,14 @@
   CHECK(standingOf(gate) == Standing::Suspect);
 }
 
-// Deadlines of ten seconds and targets of three: half a second is no long wait.
-TEST_CASE("a wait within the target is not refused") {
+// With deadlines of ten seconds and targets of three, the maximum wait of half
+// a second must not apply to requests that would still meet their target.
+TEST_CASE("a request that can still meet its target is not refused") {
   Gate gate = warmGate();
   for (int i = 0; i < 14; ++i)
     offer(gate, ticket("running" + std::to_string(i), false), at(100));
   CHECK(gate.Services["w/s"].Queue.size() == 7);
-  // Two rounds of 0.8 s and its own leave some of three seconds.
+  // A wait of two rounds of 0.8 s and its own run fit into three seconds.
   for (const GateAction &it : offer(gate, ticket("next", false), at(100)))
     CHECK_FALSE(std::holds_alternative<RefuseAction>(it));
   Ticket near = ticket("near", false);
