--- a/src/libhickoryglade/gate.h
+++ b/src/libhickoryglade/gate.h
@@ -119,7 +119,8 @@
 /// Records of the endpoints that have left this gate or are draining.
 std::vector<DepartedRecord> departedRecords(const Gate &gate);
 
-/// Restores a record that an earlier process of this node kept.
+/// Restores the record of a departed endpoint that an earlier process of this
+/// node kept.
 GateActions noteDeparted(Gate &gate, const DepartedRecord &departed,
                          Instant now);
 
--- a/tests/kernel/test_hang.cpp
+++ b/tests/kernel/test_hang.cpp
@@ -177,8 +177,9 @@
   CHECK_FALSE(refusalOf(ticket("after answers", false), silent));
 }
 
-// An entry on a node that stops does not retry requests, and a request without
-// time for another run gains nothing from an abort.
+// An entry on a node that stops does not retry requests, since the node might
+// end before the retry does. A request without time for another run gains
+// nothing from an abort.
 TEST_CASE("hanging requests are not aborted where a retry cannot help") {
   Gate gate = warmGate();
   Ticket late = ticket("late", true);
