--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -12,32 +12,34 @@
 
 namespace {
 
-/// How long announcements of an endpoint that has left may still arrive.
-constexpr Micros DepartedMemory = std::chrono::seconds(60);
+/// Time for which late announcements of an endpoint that has left may arrive.
+constexpr Micros DepartedRetention = std::chrono::seconds(60);
 
-/// A silent endpoint with nothing running is forgotten after this time.
+/// Time without announcements after which an idle endpoint is removed.
 constexpr Micros ForgetSilentAfter = std::chrono::seconds(30);
 
-/// A tick that is later than this shows a pause. A gate that wakes from one
-/// first hears what it has missed before it starts anything.
+/// A tick that is overdue by more than this shows that the process was paused.
+/// For HoldAfterPause the gate then starts nothing, so that it first processes
+/// the messages that it missed.
 constexpr Micros PauseLimit = std::chrono::milliseconds(450);
 constexpr Micros HoldAfterPause = std::chrono::milliseconds(100);
 
-/// How long the settling of crashing content is remembered.
-constexpr Micros SettleMemory = std::chrono::seconds(10);
+/// Time for which a settle delay that has elapsed is remembered.
+constexpr Micros SettleRetention = std::chrono::seconds(10);
 
-void noticePause(Gate &gate, Instant now) {
+void detectPause(Gate &gate, Instant now) {
   if (gate.TickDue && now - *gate.TickDue > PauseLimit)
     gate.HoldUntil = now + HoldAfterPause;
 }
 
-/// An endpoint at whose address another one has started is gone.
-void replaceAtAddress(Gate &gate, const Announcement &facts, Instant now,
+/// Withdraws an endpoint if another one has started later at its address.
+void replaceAtAddress(Gate &gate, const Announcement &announcement, Instant now,
                       GateActions &actions) {
   std::vector<std::string> gone;
   for (const auto &[name, it] : gate.Endpoints)
-    if (name != facts.Name && it.Facts.Address == facts.Address &&
-        it.Facts.StartedAtMs < facts.StartedAtMs)
+    if (name != announcement.Name &&
+        it.Announced.Address == announcement.Address &&
+        it.Announced.StartedAtMs < announcement.StartedAtMs)
       gone.push_back(name);
   for (const std::string &name : gone) {
     GateActions more = withdraw(gate, name, now);
@@ -71,45 +73,48 @@
   return "unknown";
 }
 
-bool isOutdated(const Gate &gate, const Announcement &facts) {
-  auto departed = gate.Departed.find(facts.Name);
+bool isOutdated(const Gate &gate, const Announcement &announcement) {
+  auto departed = gate.Departed.find(announcement.Name);
   if (departed != gate.Departed.end() && departed->second.StartedAtMs > 0 &&
-      facts.StartedAtMs <= departed->second.StartedAtMs)
+      announcement.StartedAtMs <= departed->second.StartedAtMs)
     return true;
   for (const auto &[name, it] : gate.Endpoints) {
-    bool isSameProcess =
-        name == facts.Name && it.Facts.Incarnation == facts.Incarnation;
-    if (isSameProcess && facts.Sequence < it.Facts.Sequence)
+    bool isSameProcess = name == announcement.Name &&
+                         it.Announced.Incarnation == announcement.Incarnation;
+    if (isSameProcess && announcement.Sequence < it.Announced.Sequence)
       return true;
-    bool isSamePlace = name == facts.Name || it.Facts.Address == facts.Address;
-    if (isSamePlace && facts.StartedAtMs < it.Facts.StartedAtMs)
+    bool isSamePlace = name == announcement.Name ||
+                       it.Announced.Address == announcement.Address;
+    if (isSamePlace && announcement.StartedAtMs < it.Announced.StartedAtMs)
       return true;
   }
   return false;
 }
 
-GateActions announce(Gate &gate, const Announcement &facts, Instant now) {
+GateActions announce(Gate &gate, const Announcement &announcement,
+                     Instant now) {
   GateActions actions;
-  if (isOutdated(gate, facts))
+  if (isOutdated(gate, announcement))
     return actions;
-  replaceAtAddress(gate, facts, now, actions);
-  auto [it, isNew] = gate.Endpoints.try_emplace(facts.Name);
+  replaceAtAddress(gate, announcement, now, actions);
+  auto [it, isNew] = gate.Endpoints.try_emplace(announcement.Name);
   GateEndpoint &endpoint = it->second;
   endpoint.AnnouncementLimit = gate.AnnouncementLimit;
-  bool isRestart = !isNew && endpoint.Facts.Incarnation != facts.Incarnation;
-  endpoint.Facts = facts;
-  endpoint.LastHeard = now;
+  bool isRestart =
+      !isNew && endpoint.Announced.Incarnation != announcement.Incarnation;
+  endpoint.Announced = announcement;
+  endpoint.LastAnnounced = now;
   if (isNew)
     actions.push_back(
-        StandingAction{facts.Name, Standing::Healthy, "announced"});
+        StandingAction{announcement.Name, Standing::Healthy, "announced"});
   if (isRestart)
     replaceIncarnation(gate, endpoint, actions, now);
-  if (facts.IsDraining)
+  if (announcement.IsDraining)
     setStanding(endpoint, Standing::Draining, "announced", now, actions);
   else if (endpoint.State == Standing::Draining)
     setStanding(endpoint, Standing::Healthy, "announced", now, actions);
-  dispatch(gate, facts.Service, now, actions);
-  emptyQueue(gate, facts.Service, now, actions);
+  dispatch(gate, announcement.Service, now, actions);
+  flushIfNoEndpoint(gate, announcement.Service, now, actions);
   return actions;
 }
 
@@ -118,15 +123,15 @@
   auto it = gate.Endpoints.find(endpoint);
   if (it == gate.Endpoints.end())
     return actions;
-  std::string service = it->second.Facts.Service;
-  gate.Departed[endpoint] = {it->second.Facts.StartedAtMs,
-                             now + DepartedMemory};
+  std::string service = it->second.Announced.Service;
+  gate.Departed[endpoint] = {it->second.Announced.StartedAtMs,
+                             now + DepartedRetention};
   if (it->second.Holders.empty())
     gate.Endpoints.erase(it);
   else
     it->second.State = Standing::Draining;
   actions.push_back(StandingAction{endpoint, Standing::Draining, "withdrawn"});
-  emptyQueue(gate, service, now, actions);
+  flushIfNoEndpoint(gate, service, now, actions);
   return actions;
 }
 
@@ -136,7 +141,7 @@
     all.push_back({name, it.StartedAtMs});
   for (const auto &[name, it] : gate.Endpoints)
     if (it.State == Standing::Draining && !gate.Departed.contains(name))
-      all.push_back({name, it.Facts.StartedAtMs});
+      all.push_back({name, it.Announced.StartedAtMs});
   return all;
 }
 
@@ -145,43 +150,43 @@
   GateActions actions;
   auto it = gate.Endpoints.find(departed.Name);
   bool isSameStart = it != gate.Endpoints.end() &&
-                     it->second.Facts.StartedAtMs <= departed.StartedAtMs;
+                     it->second.Announced.StartedAtMs <= departed.StartedAtMs;
   if (isSameStart)
     actions = withdraw(gate, departed.Name, now);
   DepartedEndpoint &known = gate.Departed[departed.Name];
   known.StartedAtMs = std::max(known.StartedAtMs, departed.StartedAtMs);
-  known.ForgetAt = now + DepartedMemory;
+  known.ForgetAt = now + DepartedRetention;
   return actions;
 }
 
 GateActions offer(Gate &gate, const Ticket &ticket, Instant now) {
   GateActions actions;
-  noticePause(gate, now);
+  detectPause(gate, now);
   GateService &service = gate.Services[ticket.Service];
-  if (auto fault = offerFault(gate, ticket, now)) {
+  if (auto fault = offerError(gate, ticket, now)) {
     refuse(actions, ticket.AttemptId, std::move(*fault));
     return actions;
   }
-  if (isOnlyUnawares(gate, service, ticket)) {
+  if (isEveryEndpointDoubtful(gate, service, ticket)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint has failed",
                   Millis{0}));
     return actions;
   }
-  if (isOnlySilent(gate, service, ticket, now)) {
+  if (isEveryEndpointSilent(gate, service, ticket, now)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint is silent",
                   Millis{0}));
     return actions;
   }
-  if (isOutOfPlace(gate, service, ticket, now)) {
-    refuse(actions, ticket.AttemptId, outOfPlace());
+  if (isAtWrongGate(gate, service, ticket, now)) {
+    refuse(actions, ticket.AttemptId, wrongGateError());
     return actions;
   }
-  if (isOverRepeats(service, ticket, now)) {
+  if (exceedsRepeatBudget(service, ticket, now)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::RetriesExhausted, "the budget of this gate",
-                  spreadRetry(gate, LeastRetryAfter)));
+                  jitteredRetryAfter(gate, MinRetryAfter)));
     return actions;
   }
   bool isBusy =
@@ -193,10 +198,10 @@
     assign(gate, service, *endpoint, ticket, now, actions);
     return actions;
   }
-  if (isOnlyTrials(gate, ticket.Service)) {
+  if (isEveryEndpointOnTrial(gate, ticket.Service)) {
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint is on trial",
-                  toMillis(EmptyServiceRetry)));
+                  toMillis(NoEndpointRetryAfter)));
     return actions;
   }
   if (ticket.OnlyIfFree) {
@@ -207,7 +212,7 @@
   int slots = slotsForClass(gate, service, ticket, now);
   Ticket waiting = ticket;
   waiting.WaitingSince = now;
-  if (auto fault = admissionFault(gate, service, waiting, slots, now)) {
+  if (auto fault = admissionError(gate, service, waiting, slots, now)) {
     refuse(actions, ticket.AttemptId, std::move(*fault));
     return actions;
   }
@@ -222,19 +227,19 @@
 
 GateActions claim(Gate &gate, const std::string &attempt, Instant now) {
   GateActions actions;
-  noticePause(gate, now);
-  auto held = gate.Held.find(attempt);
-  if (held != gate.Held.end() && now >= gate.HoldUntil) {
+  detectPause(gate, now);
+  auto held = gate.EndpointByAttempt.find(attempt);
+  if (held != gate.EndpointByAttempt.end() && now >= gate.HoldUntil) {
     GateEndpoint &endpoint = gate.Endpoints.at(held->second);
     auto holder = std::ranges::find_if(endpoint.Holders, [&](const auto &it) {
       return it.Request.AttemptId == attempt;
     });
     bool isWaiting = holder != endpoint.Holders.end() && !holder->IsStarted;
-    const GateService &service = gate.Services[endpoint.Facts.Service];
-    if (isWaiting && isOutOfPlace(gate, service, holder->Request, now)) {
+    const GateService &service = gate.Services[endpoint.Announced.Service];
+    if (isWaiting && isAtWrongGate(gate, service, holder->Request, now)) {
       GateEndpoint *unused = nullptr;
       release(gate, attempt, unused);
-      refuse(actions, attempt, outOfPlace());
+      refuse(actions, attempt, wrongGateError());
       return actions;
     }
     if (isWaiting) {
@@ -248,8 +253,8 @@
 }
 
 void keep(Gate &gate, const std::string &attempt) {
-  auto held = gate.Held.find(attempt);
-  if (held == gate.Held.end())
+  auto held = gate.EndpointByAttempt.find(attempt);
+  if (held == gate.EndpointByAttempt.end())
     return;
   for (SlotHolder &it : gate.Endpoints.at(held->second).Holders)
     if (it.Request.AttemptId == attempt)
@@ -261,8 +266,8 @@
   for (auto &[name, service] : gate.Services)
     if (service.Queue.remove(attempt))
       return actions;
-  auto held = gate.Held.find(attempt);
-  if (held == gate.Held.end())
+  auto held = gate.EndpointByAttempt.find(attempt);
+  if (held == gate.EndpointByAttempt.end())
     return actions;
   const GateEndpoint &endpoint = gate.Endpoints.at(held->second);
   bool isStarted = std::ranges::any_of(endpoint.Holders, [&](const auto &it) {
@@ -273,7 +278,7 @@
         attempt, makeError(ErrorKind::Cancelled, "the caller went away")});
     return actions;
   }
-  std::string service = endpoint.Facts.Service;
+  std::string service = endpoint.Announced.Service;
   GateEndpoint *unused = nullptr;
   release(gate, attempt, unused);
   dispatch(gate, service, now, actions);
@@ -288,10 +293,10 @@
   gate.Ledger.noteFinished(attempt);
   if (!holder)
     return actions;
-  std::string service = endpoint->Facts.Service;
+  std::string service = endpoint->Announced.Service;
   noteOutcome(gate, *endpoint, *holder, outcome, now, actions);
-  judge(gate, *endpoint, now, actions);
-  handBackWaiting(gate, service, actions);
+  assessHealth(gate, *endpoint, now, actions);
+  flushIfDoubtful(gate, service, actions);
   dispatch(gate, service, now, actions);
   return actions;
 }
@@ -313,9 +318,9 @@
   if (it == gate.Endpoints.end())
     return actions;
   GateEndpoint &target = it->second;
-  bool isIll =
+  bool isUnhealthy =
       target.State == Standing::Suspect || target.State == Standing::Ejected;
-  if (!isIll)
+  if (!isUnhealthy)
     return actions;
   target.EjectedUntil = until;
   Instant since = target.StateSince;
@@ -324,35 +329,35 @@
   else
     setStanding(target, Standing::Suspect, "lease ended", now, actions);
   target.StateSince = since;
-  emptyQueue(gate, target.Facts.Service, now, actions);
+  flushIfNoEndpoint(gate, target.Announced.Service, now, actions);
   return actions;
 }
 
 GateActions tick(Gate &gate, Instant now) {
   GateActions actions;
-  noticePause(gate, now);
+  detectPause(gate, now);
   gate.TickDue = now + TickPeriod;
   for (auto &[name, endpoint] : gate.Endpoints) {
     if (endpoint.State == Standing::Ejected && !isEjected(endpoint, now))
       setStanding(endpoint, Standing::Suspect, "lease ended", now, actions);
     expireHolders(gate, endpoint, now, actions);
-    judge(gate, endpoint, now, actions);
+    assessHealth(gate, endpoint, now, actions);
     considerTrial(gate, endpoint, now, actions);
     if (endpoint.State == Standing::Healthy &&
-        now - endpoint.StateSince > RelapseMemory)
+        now - endpoint.StateSince > RelapseWindow)
       endpoint.Relapses = 0;
   }
   std::erase_if(gate.Endpoints, [&](const auto &it) {
     return it.second.Holders.empty() &&
-           now - it.second.LastHeard > ForgetSilentAfter;
+           now - it.second.LastAnnounced > ForgetSilentAfter;
   });
   for (auto &[name, service] : gate.Services) {
     std::erase_if(service.SettleUntil, [&](const auto &it) {
-      return now - it.second > SettleMemory;
+      return now - it.second > SettleRetention;
     });
     expireQueue(service, now, actions);
-    handBackWaiting(gate, name, actions);
-    emptyQueue(gate, name, now, actions);
+    flushIfDoubtful(gate, name, actions);
+    flushIfNoEndpoint(gate, name, now, actions);
     dispatch(gate, name, now, actions);
   }
   std::erase_if(gate.Departed,
@@ -366,14 +371,14 @@
   GateActions actions;
   gate.IsDraining = true;
   for (auto &[name, service] : gate.Services)
-    emptyQueue(gate, name, now, actions);
+    flushIfNoEndpoint(gate, name, now, actions);
   return actions;
 }
 
 GateLoad loadOf(const Gate &gate, const std::string &service, Instant now) {
   GateLoad load;
   for (const auto &[name, endpoint] : gate.Endpoints) {
-    if (endpoint.Facts.Service != service)
+    if (endpoint.Announced.Service != service)
       continue;
     if (takesWork(endpoint, now) && !gate.IsDraining)
       load.FreeSlots += freeSlots(endpoint);
--- a/src/libhickoryglade/gateadmission.cpp
+++ b/src/libhickoryglade/gateadmission.cpp
@@ -10,16 +10,18 @@
 
 namespace {
 
-/// Time in which an endpoint that runs a crashing request is found crashed.
-constexpr Micros SettleTerm = std::chrono::milliseconds(100);
+/// Time within which the crash of an endpoint by a running request is detected
+/// and reported to this gate.
+constexpr Micros SettleDelay = std::chrono::milliseconds(100);
 
-/// Only work of the ticket's class stands in its way: short requests pass
-/// waiting long ones, long ones share the slots that they may hold.
+/// Slot time of running and waiting requests that delay this one. Only requests
+/// of the same class count: short requests overtake waiting long ones, and long
+/// ones compete only for the slots that long requests may hold.
 Micros slotTimeAhead(const Gate &gate, const GateService &service,
                      const Ticket &ticket, Instant now) {
   Micros running{0};
   for (const auto &[name, endpoint] : gate.Endpoints) {
-    if (endpoint.Facts.Service != ticket.Service)
+    if (endpoint.Announced.Service != ticket.Service)
       continue;
     for (const SlotHolder &holder : endpoint.Holders)
       if (holder.Request.IsLong == ticket.IsLong)
@@ -32,8 +34,8 @@
          service.Queue.costAhead(ticket, weight, service.Policy.Order);
 }
 
-/// A wait that still lets the answer come with its full value is never too
-/// long.
+/// Longest wait that the request accepts. A wait after which the answer still
+/// meets its target is always accepted.
 Micros longestWait(const ServicePolicy &policy, const Ticket &ticket,
                    Instant now) {
   if (ticket.MaxWait)
@@ -46,8 +48,8 @@
 
 } // namespace
 
-Millis spreadRetry(Gate &gate, Micros wait) {
-  Micros base = std::max(wait, LeastRetryAfter);
+Millis jitteredRetryAfter(Gate &gate, Micros wait) {
+  Micros base = std::max(wait, MinRetryAfter);
   auto spread = uniform(gate.Rng, std::uint64_t(base.count()) + 1);
   return toMillis(base + Micros(spread));
 }
@@ -65,13 +67,13 @@
          QuarantineRule::Serialized;
 }
 
-bool isOutOfPlace(const Gate &gate, const GateService &service,
-                  const Ticket &ticket, Instant now) {
+bool isAtWrongGate(const Gate &gate, const GateService &service,
+                   const Ticket &ticket, Instant now) {
   return service.Gates > 1 && !ticket.IsSerialized &&
          isSerialized(gate, ticket, now);
 }
 
-Error outOfPlace() {
+Error wrongGateError() {
   return notRun(ErrorKind::ContentSuspect, "its copies meet at another gate",
                 Millis{0});
 }
@@ -81,47 +83,48 @@
   if (!isSerialized(gate, ticket, now))
     return false;
   auto [settle, isNew] =
-      service.SettleUntil.try_emplace(ticket.Fingerprint, now + SettleTerm);
+      service.SettleUntil.try_emplace(ticket.Fingerprint, now + SettleDelay);
   return now < settle->second ||
          service.Serialized.contains(ticket.Fingerprint);
 }
 
-bool isOverRepeats(GateService &service, const Ticket &ticket, Instant now) {
+bool exceedsRepeatBudget(GateService &service, const Ticket &ticket,
+                         Instant now) {
   const ServicePolicy &policy = service.Policy;
   double allowance = double(policy.RetryAllowance) / std::max(service.Gates, 1);
   return ticket.IsRepeat && !service.Repeats.allowsRepeat(
                                 policy.RetryBudgetPercent, allowance, now);
 }
 
-std::optional<Error> admissionFault(Gate &gate, GateService &service,
+std::optional<Error> admissionError(Gate &gate, GateService &service,
                                     Ticket &ticket, int slots, Instant now) {
   const auto *admission =
       Registry<AdmissionPolicy>::instance().find(service.Policy.Admission);
   if (!admission)
     return std::nullopt;
   Micros ahead = slotTimeAhead(gate, service, ticket, now);
-  ticket.PromisedWait = ahead / std::max(slots, 1);
+  ticket.EstimatedWait = ahead / std::max(slots, 1);
   Micros maxWait = longestWait(service.Policy, ticket, now);
-  AdmissionAnswer answer = admission->Admit(
+  AdmissionDecision decision = admission->Admit(
       {service.Queue.size(), std::size_t(service.Policy.QueueLimit), slots,
        service.Waits.correct(ticket.Priority, ahead, now), ticket.ExpectedCost,
        ticket.Deadline - now, maxWait, service.Policy.TargetLatency});
-  if (answer.IsAdmitted)
+  if (decision.IsAdmitted)
     return std::nullopt;
   return notRun(ErrorKind::Overloaded,
                 "expected wait " +
-                    std::to_string(toMillis(answer.ExpectedWait).count()) +
+                    std::to_string(toMillis(decision.ExpectedWait).count()) +
                     " ms",
-                spreadRetry(gate, answer.ExpectedWait));
+                jitteredRetryAfter(gate, decision.ExpectedWait));
 }
 
-std::optional<Error> offerFault(const Gate &gate, const Ticket &ticket,
+std::optional<Error> offerError(const Gate &gate, const Ticket &ticket,
                                 Instant now) {
   if (gate.IsDraining)
     return notRun(ErrorKind::ShuttingDown, "the node is leaving", Millis{0});
   if (ticket.Deadline <= now)
     return notRun(ErrorKind::DeadlineExceeded, "arrived after its deadline",
-                  toMillis(LeastRetryAfter));
+                  toMillis(MinRetryAfter));
   if (gate.Ledger.stateOf(ticket.AttemptId) != StartState::Unseen)
     return notRun(ErrorKind::WrongGeneration, "the attempt is fenced",
                   Millis{0});
@@ -129,11 +132,11 @@
       QuarantineRule::Refused)
     return notRun(
         ErrorKind::Quarantined, fingerprintName(ticket.Fingerprint),
-        toMillis(remainingTerm(gate.Crashes, ticket.Fingerprint, now)));
+        toMillis(remainingQuarantine(gate.Crashes, ticket.Fingerprint, now)));
   int slots = slotsInRotation(gate, ticket.Service, now);
   if (slots == 0)
     return notRun(ErrorKind::NoEndpoint, "no endpoint at this gate",
-                  toMillis(EmptyServiceRetry));
+                  toMillis(NoEndpointRetryAfter));
   return std::nullopt;
 }
 
--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-/// A freshly started endpoint is allowed slow first answers.
+/// Until an endpoint has completed this many requests after its start, its
+/// answers may take longer by the factor below.
 constexpr int WarmCompletions = 3;
 constexpr int ColdAllowance = 3;
 
-/// How much slower a freshly started endpoint usually is.
+/// Factor by which a freshly started endpoint is usually slower.
 constexpr int ColdSlowdown = 2;
 
-/// Bounds the shift; the policy bounds the rest itself.
-constexpr int MostDoublings = 16;
+/// Keeps the shift from overflowing; MostRest bounds the rest time itself.
+constexpr int MaxDoublings = 16;
 
 Micros overdueBy(const GateEndpoint &endpoint, const SlotHolder &holder,
                  const ServicePolicy &policy, Instant now) {
@@ -25,23 +26,24 @@
   return std::max(now - holder.Since - allowed, Micros{0});
 }
 
-/// Log of how much likelier it is of an endpoint that hangs on three quarters
-/// of its work that a request still runs, at a multiple of its expected time:
-/// run times of a class are spread by half, and one in 30 takes far longer.
-double hangOddsOf(double multiple) {
+/// Log-likelihood ratio of a request that still runs at a multiple of its
+/// expected time: of an endpoint that hangs on three quarters of its requests
+/// against a healthy one. It assumes that run times of a class spread by half,
+/// and that one request in 30 takes far longer.
+double hangLogOddsOf(double multiple) {
   constexpr double leastMultiple = 0.55;
   constexpr double perMultiple = 1.4;
   constexpr double most = 3.2;
   return std::clamp((multiple - leastMultiple) * perMultiple, 0.0, most);
 }
 
-/// By how much a completion speaks against a hang: the log of four, since such
-/// an endpoint completes one request in four.
-constexpr double CompletionOdds = 1.4;
+/// Evidence of a completion against a hang: the log of four, since an endpoint
+/// that hangs on three quarters of its requests completes one in four.
+constexpr double CompletionLogOdds = 1.4;
 
-constexpr std::size_t MostCompleted = 16;
+constexpr std::size_t MaxCompleted = 16;
 
-double hangOdds(const GateEndpoint &endpoint, Instant now) {
+double hangLogOdds(const GateEndpoint &endpoint, Instant now) {
   double odds = 0;
   Instant oldest = now;
   int cold = endpoint.Completions < WarmCompletions ? ColdSlowdown : 1;
@@ -49,26 +51,26 @@
     if (!it.IsStarted || it.Since < endpoint.EvidenceSince ||
         it.Request.ExpectedCost == Micros{0})
       continue;
-    odds += hangOddsOf(double((now - it.Since).count()) /
-                       double(it.Request.ExpectedCost.count() * cold));
+    odds += hangLogOddsOf(double((now - it.Since).count()) /
+                          double(it.Request.ExpectedCost.count() * cold));
     oldest = std::min(oldest, it.Since);
   }
   auto later = std::ranges::count_if(endpoint.Completed,
                                      [&](Instant it) { return it >= oldest; });
-  return odds - CompletionOdds * double(later);
+  return odds - CompletionLogOdds * double(later);
 }
 
-/// Multiple of its expected time after which a request of a hanging endpoint
-/// is given to another, and the time that it needs there.
-constexpr int HandBackFactor = 2;
-constexpr double OtherTryFactor = 1.25;
+/// Multiple of its expected run time after which a request at a hanging
+/// endpoint is retried elsewhere, and the multiple that the retry needs.
+constexpr int RetryElsewhereFactor = 2;
+constexpr double RetryTimeFactor = 1.25;
 
 } // namespace
 
 void noteCompletion(GateEndpoint &endpoint, Instant now) {
   endpoint.LastCompletion = now;
   endpoint.Completed.push_back(now);
-  if (endpoint.Completed.size() > MostCompleted)
+  if (endpoint.Completed.size() > MaxCompleted)
     endpoint.Completed.pop_front();
 }
 
@@ -78,18 +80,18 @@
   });
 }
 
-bool isWorthHandingBack(const SlotHolder &holder, const ServicePolicy &policy,
-                        Instant now) {
+bool shouldRetryElsewhere(const SlotHolder &holder, const ServicePolicy &policy,
+                          Instant now) {
   const Ticket &ticket = holder.Request;
-  Micros usual = HandBackFactor * ticket.ExpectedCost;
+  Micros usual = RetryElsewhereFactor * ticket.ExpectedCost;
   bool isOverdue =
       now - holder.Since > std::max<Micros>(policy.StallAfter, usual);
-  bool hasTime = ticket.Deadline - now > OtherTryFactor * ticket.ExpectedCost;
+  bool hasTime = ticket.Deadline - now > RetryTimeFactor * ticket.ExpectedCost;
   return ticket.IsIdempotent && !ticket.IsLastTry && isOverdue && hasTime;
 }
 
 int freeSlots(const GateEndpoint &endpoint) {
-  return std::max(endpoint.Facts.Slots - int(endpoint.Holders.size()), 0);
+  return std::max(endpoint.Announced.Slots - int(endpoint.Holders.size()), 0);
 }
 
 int longHeld(const GateEndpoint &endpoint, Instant now, Micros longAfter) {
@@ -113,16 +115,16 @@
     oldestStart = std::min(oldestStart, holder.Since);
     Micros overdue = overdueBy(endpoint, holder, policy, now);
     evidence.Overdue += overdue > Micros{0};
-    evidence.MostOverdue = std::max(evidence.MostOverdue, overdue);
+    evidence.MaxOverdue = std::max(evidence.MaxOverdue, overdue);
   }
-  evidence.HangOdds = hangOdds(endpoint, now);
+  evidence.HangLogOdds = hangLogOdds(endpoint, now);
   if (evidence.Running > 0)
     evidence.SinceCompletion = now - std::max(idleSince, oldestStart);
   return evidence;
 }
 
 Micros restBeforeTrial(const ServicePolicy &policy, int relapses) {
-  Micros rest = policy.FirstRest * (1 << std::min(relapses, MostDoublings));
+  Micros rest = policy.FirstRest * (1 << std::min(relapses, MaxDoublings));
   return std::min<Micros>(rest, policy.MostRest);
 }
 
--- a/src/libhickoryglade/gatehealth.cpp
+++ b/src/libhickoryglade/gatehealth.cpp
@@ -9,26 +9,26 @@
 
 namespace {
 
-/// Time after a broken connection in which a restart counts as its cause.
-constexpr Micros DroppedMemory = std::chrono::seconds(10);
+/// A restart within this time after a broken connection counts as a crash.
+constexpr Micros DroppedWindow = std::chrono::seconds(10);
 
-/// Answers that end a trial of an endpoint that has relapsed.
+/// Successful answers that end the trial of an endpoint with relapses.
 constexpr int AnswersAfterRelapse = 2;
 
-/// Two failures in a row make more than half of the share.
+/// Weight in the moving average; two failures in a row raise it above 0.5.
 constexpr double LatestOutcomeWeight = 0.3;
 
-void fallIll(GateEndpoint &endpoint, const std::string &reason, bool isSick,
-             Instant now, GateActions &actions) {
+void markSuspect(GateEndpoint &endpoint, const std::string &reason,
+                 bool isUnhealthy, Instant now, GateActions &actions) {
   if (endpoint.State == Standing::Trial)
     ++endpoint.Relapses;
-  if (endpoint.RecoveredAt && now - *endpoint.RecoveredAt < RelapseMemory)
+  if (endpoint.RecoveredAt && now - *endpoint.RecoveredAt < RelapseWindow)
     ++endpoint.Relapses;
   endpoint.RecoveredAt.reset();
   setStanding(endpoint, Standing::Suspect, reason, now, actions);
-  if (isSick)
-    actions.push_back(
-        EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, true});
+  if (isUnhealthy)
+    actions.push_back(EjectionAction{endpoint.Announced.Name,
+                                     endpoint.Announced.Service, true});
 }
 
 void recover(GateEndpoint &endpoint, Instant now, GateActions &actions) {
@@ -38,9 +38,9 @@
   bool isOnTrial = endpoint.State == Standing::Trial && endpoint.Relapses > 0;
   if (isOnTrial && endpoint.TrialAnswers < AnswersAfterRelapse)
     return;
-  // Endpoints that fail most of their work answer some of it.
+  // An endpoint that fails most requests still answers a few of them.
   bool isStillFailing = endpoint.State == Standing::Suspect &&
-                        endpoint.FailureShare > MostFailureShare;
+                        endpoint.FailureShare > MaxFailureShare;
   if (isStillFailing)
     return;
   endpoint.FailureShare = 0;
@@ -48,54 +48,54 @@
   endpoint.RecoveredAt = now;
   endpoint.EvidenceSince = now;
   setStanding(endpoint, Standing::Healthy, "completes work", now, actions);
-  actions.push_back(
-      EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, false});
+  actions.push_back(EjectionAction{endpoint.Announced.Name,
+                                   endpoint.Announced.Service, false});
 }
 
-void noteShare(GateEndpoint &endpoint, bool isFailure) {
+void updateFailureShare(GateEndpoint &endpoint, bool isFailure) {
   endpoint.FailureShare +=
       ((isFailure ? 1.0 : 0.0) - endpoint.FailureShare) * LatestOutcomeWeight;
 }
 
 void countFailure(GateEndpoint &endpoint) {
   ++endpoint.ConsecutiveFailures;
-  noteShare(endpoint, true);
+  updateFailureShare(endpoint, true);
 }
 
-/// Idempotent work of a stalled endpoint is handed back, so that the entry
-/// can run it elsewhere, if it still may.
-void handBack(const GateEndpoint &endpoint, const ServicePolicy &policy,
-              Instant now, GateActions &actions) {
-  std::vector<std::string> given;
+/// Aborts overdue idempotent requests of a stalled endpoint, so that the entry
+/// can retry them at another endpoint.
+void abortOverdue(const GateEndpoint &endpoint, const ServicePolicy &policy,
+                  Instant now, GateActions &actions) {
+  std::vector<std::string> overdue;
   for (const SlotHolder &holder : endpoint.Holders)
-    if (holder.IsStarted && isWorthHandingBack(holder, policy, now))
-      given.push_back(holder.Request.AttemptId);
-  for (const std::string &attempt : given)
+    if (holder.IsStarted && shouldRetryElsewhere(holder, policy, now))
+      overdue.push_back(holder.Request.AttemptId);
+  for (const std::string &attempt : overdue)
     actions.push_back(AbortAction{
         attempt, makeError(ErrorKind::EndpointFailed, "the endpoint stalls")});
 }
 
-void blame(Gate &gate, const GateEndpoint &endpoint, std::uint64_t fingerprint,
-           Instant now, GateActions &actions) {
-  const std::string &service = endpoint.Facts.Service;
+void reportCrash(Gate &gate, const GateEndpoint &endpoint,
+                 std::uint64_t fingerprint, Instant now, GateActions &actions) {
+  const std::string &service = endpoint.Announced.Service;
   noteCrash(gate.Crashes, fingerprint, gate.Node,
             now + gate.Services[service].Policy.QuarantineTerm);
   actions.push_back(CrashAction{fingerprint, service});
 }
 
-/// A restart soon after connections broke was a crash.
-void blameDropped(Gate &gate, GateEndpoint &endpoint, Instant now,
-                  GateActions &actions) {
+/// Reports crashes for connections that broke shortly before a restart.
+void reportDroppedAsCrashes(Gate &gate, GateEndpoint &endpoint, Instant now,
+                            GateActions &actions) {
   for (const DroppedRequest &it : endpoint.Dropped)
-    if (now - it.At < DroppedMemory)
-      blame(gate, endpoint, it.Fingerprint, now, actions);
+    if (now - it.At < DroppedWindow)
+      reportCrash(gate, endpoint, it.Fingerprint, now, actions);
   endpoint.Dropped.clear();
 }
 
-/// A deadline that was long enough for such a request, during which the
-/// endpoint completed nothing else, speaks against the endpoint.
-bool isTellingTimeout(const GateEndpoint &endpoint, const SlotHolder &holder,
-                      Instant now) {
+/// A timeout counts as a failure of the endpoint if the request ran far longer
+/// than expected and the endpoint completed nothing meanwhile.
+bool isConclusiveTimeout(const GateEndpoint &endpoint, const SlotHolder &holder,
+                         Instant now) {
   return endpoint.LastCompletion < holder.Since &&
          now - holder.Since > OverdueFactor * holder.Request.ExpectedCost;
 }
@@ -110,49 +110,51 @@
   endpoint.StateSince = now;
   endpoint.StateReason = reason;
   actions.push_back(
-      StandingAction{endpoint.Facts.Name, state, std::move(reason)});
+      StandingAction{endpoint.Announced.Name, state, std::move(reason)});
 }
 
-void judge(Gate &gate, GateEndpoint &endpoint, Instant now,
-           GateActions &actions) {
-  const ServicePolicy &policy = gate.Services[endpoint.Facts.Service].Policy;
+void assessHealth(Gate &gate, GateEndpoint &endpoint, Instant now,
+                  GateActions &actions) {
+  const ServicePolicy &policy =
+      gate.Services[endpoint.Announced.Service].Policy;
   const auto *health = Registry<HealthPolicy>::instance().find(policy.Health);
   if (!health)
     return;
-  HealthJudgement judgement =
-      health->Judge(evidenceOf(endpoint, policy, now), policy);
-  endpoint.IsHanging = endpoint.IsHanging || judgement.IsHanging;
-  bool isSick = judgement.Verdict == HealthVerdict::Sick;
-  if (isSick || endpoint.IsHanging)
-    handBack(endpoint, policy, now, actions);
-  if (judgement.Verdict == HealthVerdict::Well)
+  HealthAssessment assessment =
+      health->Assess(evidenceOf(endpoint, policy, now), policy);
+  endpoint.IsHanging = endpoint.IsHanging || assessment.IsHanging;
+  bool isUnhealthy = assessment.Verdict == HealthVerdict::Unhealthy;
+  if (isUnhealthy || endpoint.IsHanging)
+    abortOverdue(endpoint, policy, now, actions);
+  if (assessment.Verdict == HealthVerdict::Healthy)
     return;
-  bool isNews =
+  bool isNewlyDoubtful =
       endpoint.State == Standing::Healthy || endpoint.State == Standing::Trial;
-  if (isNews)
-    fallIll(endpoint, judgement.Reason, isSick, now, actions);
-  else if (isSick && !isEjected(endpoint, now))
-    actions.push_back(
-        EjectionAction{endpoint.Facts.Name, endpoint.Facts.Service, true});
+  if (isNewlyDoubtful)
+    markSuspect(endpoint, assessment.Reason, isUnhealthy, now, actions);
+  else if (isUnhealthy && !isEjected(endpoint, now))
+    actions.push_back(EjectionAction{endpoint.Announced.Name,
+                                     endpoint.Announced.Service, true});
 }
 
 void considerTrial(const Gate &gate, GateEndpoint &endpoint, Instant now,
                    GateActions &actions) {
-  auto service = gate.Services.find(endpoint.Facts.Service);
+  auto service = gate.Services.find(endpoint.Announced.Service);
   static const ServicePolicy defaults;
   const ServicePolicy &policy =
       service == gate.Services.end() ? defaults : service->second.Policy;
-  bool isForgotten = endpoint.State == Standing::Trial &&
-                     !hasStartedSinceChange(endpoint) &&
-                     now - endpoint.StateSince > policy.TrialIdleTimeout;
-  if (isForgotten)
+  bool isUntried = endpoint.State == Standing::Trial &&
+                   !hasStartedSinceChange(endpoint) &&
+                   now - endpoint.StateSince > policy.TrialIdleTimeout;
+  if (isUntried)
     setStanding(endpoint, Standing::Healthy, "no trial came", now, actions);
   if (endpoint.State != Standing::Suspect &&
       endpoint.State != Standing::Ejected)
     return;
   bool hasRested =
       now - endpoint.StateSince >= restBeforeTrial(policy, endpoint.Relapses);
-  // What hangs from before may do so until its deadline.
+  // Requests from before the change may hang until their deadline; they do not
+  // delay the trial.
   if (!hasRested || hasStartedSinceChange(endpoint))
     return;
   endpoint.ConsecutiveFailures = 0;
@@ -173,7 +175,7 @@
     ++endpoint.Completions;
     endpoint.ConsecutiveFailures = 0;
     endpoint.ConsecutiveSheds = 0;
-    noteShare(endpoint, false);
+    updateFailureShare(endpoint, false);
     if (endpoint.State != Standing::Draining)
       recover(endpoint, now, actions);
     return;
@@ -186,7 +188,7 @@
     ++endpoint.ConsecutiveSheds;
     return;
   case AttemptOutcome::Crashed:
-    blame(gate, endpoint, holder.Request.Fingerprint, now, actions);
+    reportCrash(gate, endpoint, holder.Request.Fingerprint, now, actions);
     endpoint.IsListening = false;
     countFailure(endpoint);
     return;
@@ -196,7 +198,7 @@
     return;
   case AttemptOutcome::Broken:
     std::erase_if(endpoint.Dropped, [&](const DroppedRequest &it) {
-      return now - it.At >= DroppedMemory;
+      return now - it.At >= DroppedWindow;
     });
     endpoint.Dropped.push_back({holder.Request.Fingerprint, now});
     countFailure(endpoint);
@@ -205,9 +207,9 @@
     countFailure(endpoint);
     return;
   case AttemptOutcome::TimedOut:
-    // What hung before a trial began says nothing of how it goes.
+    // Requests that started before the trial are no evidence about it.
     if (holder.Since >= endpoint.EvidenceSince &&
-        isTellingTimeout(endpoint, holder, now))
+        isConclusiveTimeout(endpoint, holder, now))
       countFailure(endpoint);
     return;
   case AttemptOutcome::Cancelled:
@@ -217,7 +219,7 @@
 
 void replaceIncarnation(Gate &gate, GateEndpoint &endpoint,
                         GateActions &actions, Instant now) {
-  blameDropped(gate, endpoint, now, actions);
+  reportDroppedAsCrashes(gate, endpoint, now, actions);
   ++endpoint.Generation;
   endpoint.IsListening = true;
   endpoint.IsHanging = false;
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-/// How long a granted slot waits for the body.
-constexpr Micros GrantTerm = std::chrono::milliseconds(250);
+/// Time that a granted slot is held for the request's body.
+constexpr Micros GrantTimeout = std::chrono::milliseconds(250);
 
-/// Time after an attempt's deadline during which late copies are recognized.
+/// Time after an attempt's deadline for which late copies are recognized.
 constexpr Micros LedgerMargin = std::chrono::seconds(60);
 
-/// Waits count whether they ended with a slot or in vain.
+/// Records the wait of a request, whether it got a slot or not.
 void noteWait(GateService &service, const Ticket &ticket, Instant now) {
-  service.Waits.note(ticket.Priority, ticket.PromisedWait,
-                     now - ticket.WaitingSince, now);
+  service.Waits.record(ticket.Priority, ticket.EstimatedWait,
+                       now - ticket.WaitingSince, now);
 }
 
 } // namespace
@@ -33,8 +33,8 @@
   holder.IsStarted = true;
   holder.Since = now;
   if (gate.Ledger.tryStart(ticket.AttemptId, forgetAt(ticket))) {
-    gate.Services[ticket.Service].Repeats.note(ticket.IsRepeat, now);
-    actions.push_back(StartAction{ticket.AttemptId, endpoint.Facts.Name});
+    gate.Services[ticket.Service].Repeats.record(ticket.IsRepeat, now);
+    actions.push_back(StartAction{ticket.AttemptId, endpoint.Announced.Name});
     return;
   }
   refuse(
@@ -45,11 +45,11 @@
 void assign(Gate &gate, GateService &service, GateEndpoint &endpoint,
             const Ticket &ticket, Instant now, GateActions &actions) {
   endpoint.Holders.push_back({ticket, now, false});
-  gate.Held[ticket.AttemptId] = endpoint.Facts.Name;
+  gate.EndpointByAttempt[ticket.AttemptId] = endpoint.Announced.Name;
   if (isSerialized(gate, ticket, now))
     service.Serialized.insert(ticket.Fingerprint);
   if (ticket.AwaitsClaim)
-    actions.push_back(GrantAction{ticket.AttemptId, endpoint.Facts.Name});
+    actions.push_back(GrantAction{ticket.AttemptId, endpoint.Announced.Name});
   else
     start(gate, endpoint, endpoint.Holders.back(), now, actions);
 }
@@ -70,21 +70,21 @@
     noteWait(service, *ticket, now);
     if (ruleFor(gate.Crashes, ticket->Fingerprint, now, ticket->KnownCrashes) ==
         QuarantineRule::Refused) {
-      refuse(
-          actions, ticket->AttemptId,
-          notRun(
-              ErrorKind::Quarantined, fingerprintName(ticket->Fingerprint),
-              toMillis(remainingTerm(gate.Crashes, ticket->Fingerprint, now))));
+      refuse(actions, ticket->AttemptId,
+             notRun(ErrorKind::Quarantined,
+                    fingerprintName(ticket->Fingerprint),
+                    toMillis(remainingQuarantine(gate.Crashes,
+                                                 ticket->Fingerprint, now))));
       continue;
     }
-    if (isOutOfPlace(gate, service, *ticket, now)) {
-      refuse(actions, ticket->AttemptId, outOfPlace());
+    if (isAtWrongGate(gate, service, *ticket, now)) {
+      refuse(actions, ticket->AttemptId, wrongGateError());
       continue;
     }
     if (ticket->Deadline < now + ticket->ExpectedCost) {
       refuse(actions, ticket->AttemptId,
              notRun(ErrorKind::Overloaded, "too late to finish in time",
-                    spreadRetry(gate, service.Policy.MaxWait)));
+                    jitteredRetryAfter(gate, service.Policy.MaxWait)));
       continue;
     }
     assign(gate, service, *endpoint, *ticket, now, actions);
@@ -93,11 +93,11 @@
 
 std::optional<SlotHolder> release(Gate &gate, const std::string &attempt,
                                   GateEndpoint *&endpoint) {
-  auto held = gate.Held.find(attempt);
-  if (held == gate.Held.end())
+  auto held = gate.EndpointByAttempt.find(attempt);
+  if (held == gate.EndpointByAttempt.end())
     return std::nullopt;
   auto it = gate.Endpoints.find(held->second);
-  gate.Held.erase(held);
+  gate.EndpointByAttempt.erase(held);
   if (it == gate.Endpoints.end())
     return std::nullopt;
   endpoint = &it->second;
@@ -118,7 +118,7 @@
   std::vector<std::string> lapsed;
   std::vector<std::string> late;
   for (const SlotHolder &holder : endpoint.Holders) {
-    if (!holder.IsStarted && now - holder.Since > GrantTerm)
+    if (!holder.IsStarted && now - holder.Since > GrantTimeout)
       lapsed.push_back(holder.Request.AttemptId);
     if (holder.IsStarted && holder.Request.Deadline <= now)
       late.push_back(holder.Request.AttemptId);
@@ -143,28 +143,29 @@
     noteWait(service, ticket, now);
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::DeadlineExceeded, "no slot became free in time",
-                  toMillis(LeastRetryAfter)));
+                  toMillis(MinRetryAfter)));
   }
 }
 
-void emptyQueue(Gate &gate, const std::string &name, Instant now,
-                GateActions &actions) {
+void flushIfNoEndpoint(Gate &gate, const std::string &name, Instant now,
+                       GateActions &actions) {
   if (!gate.IsDraining && slotsInRotation(gate, name, now) > 0)
     return;
   for (const Ticket &ticket : gate.Services[name].Queue.takeAll())
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::NoEndpoint, "no endpoint left at this gate",
-                  toMillis(EmptyServiceRetry)));
+                  toMillis(NoEndpointRetryAfter)));
 }
 
-void handBackWaiting(Gate &gate, const std::string &name,
+void flushIfDoubtful(Gate &gate, const std::string &name,
                      GateActions &actions) {
   GateService &service = gate.Services[name];
   if (service.Queue.size() == 0)
     return;
-  auto unawares = service.Queue.takeWhere(
-      [&](const Ticket &it) { return isOnlyUnawares(gate, service, it); });
-  for (const Ticket &ticket : unawares)
+  auto refused = service.Queue.takeWhere([&](const Ticket &it) {
+    return isEveryEndpointDoubtful(gate, service, it);
+  });
+  for (const Ticket &ticket : refused)
     refuse(actions, ticket.AttemptId,
            notRun(ErrorKind::EndpointDoubtful, "the endpoint has failed",
                   Millis{0}));
--- a/src/libhickoryglade/gaterules.cpp
+++ b/src/libhickoryglade/gaterules.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A long request takes a slot beyond the cap only where it leaves one free
-/// and no short request waits.
+/// A long request exceeds the cap only if another slot stays free and no short
+/// request waits.
 bool mayHoldLong(const GateEndpoint &endpoint, const GateService &service,
                  Instant now) {
   int held = longHeld(endpoint, now, service.Policy.LongAfter);
@@ -16,15 +16,15 @@
   return freeSlots(endpoint) > 1 && !service.Queue.hasShort();
 }
 
-/// Log of how much likelier the silence of an endpoint is of one that hangs,
-/// from which it gets no work that may run only once: two to one. It costs a
-/// message to ask the next.
-constexpr double MostSilentOdds = 0.7;
+/// Log-odds of a hang above which an endpoint gets no requests that may run
+/// only once: two to one. A low bound suffices, since a refusal costs just one
+/// message to another gate.
+constexpr double MaxSilentLogOdds = 0.7;
 
 } // namespace
 
 bool isAnnounced(const GateEndpoint &endpoint, Instant now) {
-  return now - endpoint.LastHeard <= endpoint.AnnouncementLimit;
+  return now - endpoint.LastAnnounced <= endpoint.AnnouncementLimit;
 }
 
 bool isEjected(const GateEndpoint &endpoint, Instant now) {
@@ -42,39 +42,40 @@
 }
 
 int longCap(const GateEndpoint &endpoint, const ServicePolicy &policy) {
-  return std::max(1, endpoint.Facts.Slots * policy.LongSlotsPercent / 100);
+  return std::max(1, endpoint.Announced.Slots * policy.LongSlotsPercent / 100);
 }
 
-bool isUnawares(const GateEndpoint &endpoint, const GateService &service,
-                const Ticket &ticket) {
+bool isDoubtfulFor(const GateEndpoint &endpoint, const GateService &service,
+                   const Ticket &ticket) {
   bool isDoubtful =
       endpoint.State == Standing::Suspect || endpoint.State == Standing::Trial;
   if (!isDoubtful || service.Gates <= 1)
     return false;
   bool isFailing = endpoint.State == Standing::Suspect &&
-                   endpoint.FailureShare > MostFailureShare;
+                   endpoint.FailureShare > MaxFailureShare;
   return !ticket.AcceptsDoubtful || (ticket.IsSpill && isFailing);
 }
 
 bool mayTake(const GateEndpoint &endpoint, const GateService &service,
              const Ticket &ticket, Instant now) {
-  if (!takesWork(endpoint, now) || isUnawares(endpoint, service, ticket))
+  if (!takesWork(endpoint, now) || isDoubtfulFor(endpoint, service, ticket))
     return false;
   bool isTrial = endpoint.State == Standing::Trial;
-  // Work that hangs at an endpoint on trial must have another try.
+  // A request that hangs at an endpoint on trial must be able to be retried.
   bool suitsTrial = !ticket.IsLong && ticket.IsIdempotent && !ticket.IsLastTry;
   if (isTrial && !suitsTrial)
     return false;
   return !ticket.IsLong || mayHoldLong(endpoint, service, now);
 }
 
-bool isOnlySilent(const Gate &gate, const GateService &service,
-                  const Ticket &ticket, Instant now) {
+bool isEveryEndpointSilent(const Gate &gate, const GateService &service,
+                           const Ticket &ticket, Instant now) {
   bool isExempt = !service.Policy.AvoidsSilent || service.Gates <= 1 ||
                   ticket.IsIdempotent || ticket.AcceptsSilent;
   return !isExempt && std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
-    return it.second.Facts.Service != ticket.Service ||
-           evidenceOf(it.second, service.Policy, now).HangOdds > MostSilentOdds;
+    return it.second.Announced.Service != ticket.Service ||
+           evidenceOf(it.second, service.Policy, now).HangLogOdds >
+               MaxSilentLogOdds;
   });
 }
 
@@ -85,7 +86,7 @@
     return std::pair(it.State == Standing::Suspect, -freeSlots(it));
   };
   for (auto &[name, endpoint] : gate.Endpoints) {
-    if (endpoint.Facts.Service != ticket.Service ||
+    if (endpoint.Announced.Service != ticket.Service ||
         !mayTake(endpoint, service, ticket, now))
       continue;
     if (!best || rank(endpoint) < rank(*best))
@@ -98,35 +99,36 @@
                   const Ticket &ticket, Instant now) {
   int slots = 0;
   for (const auto &[name, it] : gate.Endpoints)
-    if (it.Facts.Service == ticket.Service && it.State != Standing::Draining &&
-        isAnnounced(it, now) && !isEjected(it, now))
-      slots += ticket.IsLong ? longCap(it, service.Policy) : it.Facts.Slots;
+    if (it.Announced.Service == ticket.Service &&
+        it.State != Standing::Draining && isAnnounced(it, now) &&
+        !isEjected(it, now))
+      slots += ticket.IsLong ? longCap(it, service.Policy) : it.Announced.Slots;
   return slots;
 }
 
 int slotsInRotation(const Gate &gate, const std::string &service, Instant now) {
   int slots = 0;
   for (const auto &[name, it] : gate.Endpoints)
-    if (it.Facts.Service == service && it.State != Standing::Draining &&
+    if (it.Announced.Service == service && it.State != Standing::Draining &&
         isAnnounced(it, now) && !isEjected(it, now))
-      slots += it.Facts.Slots;
+      slots += it.Announced.Slots;
   return slots;
 }
 
-bool isOnlyTrials(const Gate &gate, const std::string &service) {
+bool isEveryEndpointOnTrial(const Gate &gate, const std::string &service) {
   return std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
-    return it.second.Facts.Service != service ||
+    return it.second.Announced.Service != service ||
            it.second.State == Standing::Trial ||
            it.second.State == Standing::Draining;
   });
 }
 
-bool isOnlyUnawares(const Gate &gate, const GateService &service,
-                    const Ticket &ticket) {
+bool isEveryEndpointDoubtful(const Gate &gate, const GateService &service,
+                             const Ticket &ticket) {
   return std::ranges::all_of(gate.Endpoints, [&](const auto &it) {
-    return it.second.Facts.Service != ticket.Service ||
+    return it.second.Announced.Service != ticket.Service ||
            it.second.State == Standing::Draining ||
-           isUnawares(it.second, service, ticket);
+           isDoubtfulFor(it.second, service, ticket);
   });
 }
 
--- a/src/libhickoryglade/repeatbudget.cpp
+++ b/src/libhickoryglade/repeatbudget.cpp
@@ -4,12 +4,15 @@
 
 namespace {
 
-/// The window of 10 s over which operators bound repeats, in parts.
-constexpr Micros BucketTerm = std::chrono::milliseconds(500);
+/// Length of a bucket; 20 of them form the window of 10 s over which operators
+/// bound repeats.
+constexpr Micros BucketDuration = std::chrono::milliseconds(500);
 
 constexpr double Percent = 100;
 
-std::int64_t indexOf(Instant at) { return at.time_since_epoch() / BucketTerm; }
+std::int64_t indexOf(Instant at) {
+  return at.time_since_epoch() / BucketDuration;
+}
 
 } // namespace
 
@@ -21,13 +24,13 @@
   return bucket;
 }
 
-void RepeatBudget::note(bool isRepeat, Instant now) {
+void RepeatBudget::record(bool isRepeat, Instant now) {
   Bucket &bucket = bucketAt(now);
   ++(isRepeat ? bucket.Repeats : bucket.Firsts);
 }
 
-// Each gate keeps to its own part of the fleet's bound, so that the sum over
-// all gates keeps to the whole without any messages.
+// Each gate enforces its own part of the fleet's bound, so that the sum over
+// all gates stays within the bound without coordination.
 bool RepeatBudget::allowsRepeat(int percent, double allowance, Instant now) {
   std::int64_t oldest = indexOf(now) - std::int64_t(Buckets) + 1;
   int firsts = 0;
--- a/src/plugins/consecutivefailures/consecutivefailures.cpp
+++ b/src/plugins/consecutivefailures/consecutivefailures.cpp
@@ -1,24 +1,24 @@
 #include "libhickoryglade/healthpolicy.h"
 #include "libhickoryglade/registry.h"
 
-/// Judges an endpoint by failures in a row alone. The baseline that the
-/// comparison with peers is measured against.
+/// Assesses an endpoint by its consecutive failures alone. Serves as the
+/// baseline in measurements of the peer comparison.
 
 namespace hickoryglade {
 
 namespace {
 
-constexpr int FailuresForSickness = 5;
+constexpr int UnhealthyThreshold = 5;
 
-HealthJudgement judgeByFailures(const EndpointEvidence &evidence,
-                                const ServicePolicy &) {
-  if (evidence.ConsecutiveFailures >= FailuresForSickness)
-    return {HealthVerdict::Sick, "failed several requests in a row"};
+HealthAssessment assessByFailures(const EndpointEvidence &evidence,
+                                  const ServicePolicy &) {
+  if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
+    return {HealthVerdict::Unhealthy, "failed several requests in a row"};
   return {};
 }
 
 const Registrar<HealthPolicy> Registered("consecutive_failures",
-                                         {judgeByFailures});
+                                         {assessByFailures});
 
 } // namespace
 
--- a/src/plugins/nearest/nearest.cpp
+++ b/src/plugins/nearest/nearest.cpp
@@ -4,46 +4,49 @@
 #include <algorithm>
 #include <map>
 
-/// Stays in the entry's own data centre while that has room, then goes to one
-/// other that has. For services with many endpoints in each data centre, where
-/// traffic between them costs more than a short wait. An entry hears too seldom
-/// from each of a hundred gates to know their free slots; within its data
-/// centre a wrong guess costs a fifth of a millisecond.
+/// Zone-aware routing: prefers gates in the entry's own data centre while they
+/// have free slots, then gates of one other data centre. For services with many
+/// endpoints in each data centre, where traffic between data centres costs more
+/// than a short wait. With a hundred gates, an entry receives load reports of
+/// each one too rarely to know its free slots; within the data centre a wrong
+/// choice costs only 0.2 ms.
 
 namespace hickoryglade {
 
 namespace {
 
-constexpr std::size_t MostTickets = 4;
+constexpr std::size_t MaxTickets = 4;
 
-/// Refusals after which tickets wait at gates near and far alike.
+/// Number of refusals after which tickets are sent to near and far gates.
 constexpr int RefusalsBeforeAll = 3;
 
-/// Counts for the gate of the entry's own node, which is asked by a call.
+/// Bonus for the gate of the entry's own node, which is reached by a function
+/// call instead of a message.
 constexpr double LocalBonus = 0.5;
 
 using Indexes = std::vector<std::size_t>;
 
-double freedom(const Candidate &it) {
+double freeSlotScore(const Candidate &it) {
   return knownFreeSlots(it) + (it.IsLocal ? LocalBonus : 0);
 }
 
-/// The freest gate, at random among equals; they must have been shuffled.
-std::size_t freest(std::span<const Candidate> candidates,
-                   const Indexes &among) {
+/// Gate with the most free slots, the first among equals. The caller shuffles
+/// the indexes, so that ties are broken at random.
+std::size_t mostFree(std::span<const Candidate> candidates,
+                     const Indexes &among) {
   return *std::ranges::max_element(
-      among, {}, [&](std::size_t i) { return freedom(candidates[i]); });
+      among, {}, [&](std::size_t i) { return freeSlotScore(candidates[i]); });
 }
 
-Indexes leastPressed(std::span<const Candidate> candidates, Indexes among,
-                     std::size_t most) {
+Indexes leastLoaded(std::span<const Candidate> candidates, Indexes among,
+                    std::size_t most) {
   std::ranges::stable_sort(
       among, {}, [&](std::size_t i) { return loadPerSlot(candidates[i]); });
   among.resize(std::min(among.size(), most));
   return among;
 }
 
-/// Mean pressure of the gates of one data centre.
+/// Mean load of the gates of one data centre.
 double meanPressure(std::span<const Candidate> candidates,
                     const Indexes &among) {
   double sum = 0;
@@ -52,15 +55,17 @@
   return sum / double(among.size());
 }
 
-/// The gates of one other data centre: the less pressed of two that are chosen
-/// by the number of their gates, so that not all entries choose alike.
+/// Gates of one other data centre: the less loaded of two that are drawn at
+/// random, weighted by their number of gates, so that entries do not all choose
+/// the same one.
 Indexes chooseFar(std::span<const Candidate> candidates, const Indexes &far,
                   Random &rng) {
-  std::map<std::string, Indexes> places;
+  std::map<std::string, Indexes> byDataCentre;
   for (std::size_t i : far)
-    places[candidates[i].DataCentre].push_back(i);
+    byDataCentre[candidates[i].DataCentre].push_back(i);
   auto draw = [&]() -> const Indexes & {
-    return places.at(candidates[far[uniform(rng, far.size())]].DataCentre);
+    return byDataCentre.at(
+        candidates[far[uniform(rng, far.size())]].DataCentre);
   };
   const Indexes &first = draw();
   const Indexes &second = draw();
@@ -72,15 +77,14 @@
 RoutePlan planFar(std::span<const Candidate> candidates, const Indexes &near,
                   const Indexes &far, const RouteRequest &question,
                   Random &rng) {
-  Indexes place = chooseFar(candidates, far, rng);
+  Indexes chosen = chooseFar(candidates, far, rng);
   if (question.CapacityRefusals < RefusalsBeforeAll) {
-    std::size_t best = freest(candidates, place);
+    std::size_t best = mostFree(candidates, chosen);
     if (knownFreeSlots(candidates[best]) > 0)
       return {{best}, false, true, "free slot elsewhere"};
   }
-  Indexes targets = leastPressed(candidates, near, MostTickets / 2);
-  Indexes others =
-      leastPressed(candidates, place, MostTickets - targets.size());
+  Indexes targets = leastLoaded(candidates, near, MaxTickets / 2);
+  Indexes others = leastLoaded(candidates, chosen, MaxTickets - targets.size());
   targets.insert(targets.end(), others.begin(), others.end());
   return {targets, true, false, "tickets in two data centres"};
 }
@@ -98,13 +102,13 @@
   Indexes far(rest.begin(), rest.end());
   Indexes near(among.begin(), rest.begin());
   if (!near.empty() && question.CapacityRefusals == 0) {
-    std::size_t best = freest(candidates, near);
+    std::size_t best = mostFree(candidates, near);
     if (knownFreeSlots(candidates[best]) > 0)
       return {{best}, false, true, "free slot near"};
   }
   bool isNearTried = question.CapacityRefusals > 1;
   if (far.empty() || (!near.empty() && !isNearTried)) {
-    RoutePlan plan{leastPressed(candidates, near, MostTickets), true, false,
+    RoutePlan plan{leastLoaded(candidates, near, MaxTickets), true, false,
                    "tickets near"};
     plan.IsWaitBounded = !far.empty();
     return plan;
--- a/src/plugins/peercomparison/peercomparison.cpp
+++ b/src/plugins/peercomparison/peercomparison.cpp
@@ -1,32 +1,34 @@
 #include "libhickoryglade/healthpolicy.h"
 #include "libhickoryglade/registry.h"
 
-/// Judges an endpoint by its real work against what entries have seen the
-/// same class of request take at its peers.
+/// Assesses an endpoint passively, by its real requests: compares their run
+/// times with those of the same class of request at its peers.
 
 namespace hickoryglade {
 
 namespace {
 
-constexpr int FailuresForSickness = 6;
+constexpr int UnhealthyThreshold = 6;
 
 bool isStalled(const EndpointEvidence &it, const ServicePolicy &policy) {
   return it.Overdue > 0 && it.SinceCompletion > policy.StallAfter;
 }
 
-/// A lone slow request is not yet a stall: a second witness is either all
-/// running work being overdue or a silence of twice the allowed length.
-bool hasSecondWitness(const EndpointEvidence &it, const ServicePolicy &policy) {
+/// One slow request alone is no proof of a stall. It is confirmed if all of
+/// several running requests are overdue, or if one is overdue by more than the
+/// stall time again.
+bool isStallConfirmed(const EndpointEvidence &it, const ServicePolicy &policy) {
   bool isAllOverdue = it.Overdue == it.Running && it.Overdue > 1;
-  return isAllOverdue || it.MostOverdue > policy.StallAfter;
+  return isAllOverdue || it.MaxOverdue > policy.StallAfter;
 }
 
-HealthJudgement judgeByPeers(const EndpointEvidence &evidence,
-                             const ServicePolicy &policy) {
-  if (evidence.ConsecutiveFailures >= FailuresForSickness)
-    return {HealthVerdict::Sick, "fails every request"};
-  if (isStalled(evidence, policy) && hasSecondWitness(evidence, policy))
-    return {HealthVerdict::Sick, "stalls while its peers complete such work"};
+HealthAssessment assessByPeers(const EndpointEvidence &evidence,
+                               const ServicePolicy &policy) {
+  if (evidence.ConsecutiveFailures >= UnhealthyThreshold)
+    return {HealthVerdict::Unhealthy, "fails every request"};
+  if (isStalled(evidence, policy) && isStallConfirmed(evidence, policy))
+    return {HealthVerdict::Unhealthy,
+            "stalls while its peers complete such work"};
   if (!evidence.IsListening)
     return {HealthVerdict::Doubtful, "does not listen"};
   if (evidence.ConsecutiveFailures >= policy.FailuresForDoubt)
@@ -38,7 +40,7 @@
   return {};
 }
 
-const Registrar<HealthPolicy> Registered("peer_comparison", {judgeByPeers});
+const Registrar<HealthPolicy> Registered("peer_comparison", {assessByPeers});
 
 } // namespace
 
--- a/src/plugins/queuelimitadmission/queuelimitadmission.cpp
+++ b/src/plugins/queuelimitadmission/queuelimitadmission.cpp
@@ -3,16 +3,16 @@
 
 #include <algorithm>
 
-/// Admits every request while the queue is short enough. The baseline that
-/// the deadline policy is measured against.
+/// Admits every request while the queue is below its limit. Serves as the
+/// baseline in measurements of the deadline policy.
 
 namespace hickoryglade {
 
 namespace {
 
-AdmissionAnswer admitByLength(const AdmissionQuestion &question) {
-  Micros wait = question.CostAhead / std::max(question.Slots, 1);
-  return {question.Queued < question.QueueLimit, wait};
+AdmissionDecision admitByLength(const AdmissionInput &input) {
+  Micros wait = input.CostAhead / std::max(input.Slots, 1);
+  return {input.Queued < input.QueueLimit, wait};
 }
 
 const Registrar<AdmissionPolicy> Registered("queue_limit", {admitByLength});
--- a/src/plugins/tickets/tickets.cpp
+++ b/src/plugins/tickets/tickets.cpp
@@ -3,26 +3,27 @@
 
 #include <algorithm>
 
-/// Late binding: sends a request straight to a gate that is known to have a
-/// free slot; else leaves tickets at several gates and sends the body to the
-/// first one that grants a slot.
+/// Late binding: sends a request directly to a gate that is known to have a
+/// free slot. Otherwise queues tickets at several gates and sends the body to
+/// the first one that grants a slot.
 
 namespace hickoryglade {
 
 namespace {
 
-constexpr std::size_t MostTickets = 4;
+constexpr std::size_t MaxTickets = 4;
 
-/// Free slots that a gate must have by this entry's last knowledge before a
-/// request is sent without asking.
+/// Number of free slots, by the gate's latest load report, from which a request
+/// is sent to it without a ticket.
 constexpr int FreeForDirectSend = 1;
 
-/// Free slots that a gate elsewhere must have beyond one that is near: traffic
-/// between data centres costs more than a slightly fuller endpoint.
+/// Number of free slots by which a gate in another data centre must exceed a
+/// near one, since traffic between data centres costs more than a slightly
+/// higher load.
 constexpr double FarPenalty = 1.5;
 constexpr double LocalBonus = 0.5;
 
-double attraction(const Candidate &it) {
+double freeSlotScore(const Candidate &it) {
   return knownFreeSlots(it) - (it.IsNear ? 0 : FarPenalty) +
          (it.IsLocal ? LocalBonus : 0);
 }
@@ -40,17 +41,17 @@
   if (among.empty())
     return {{}, false, false, "no candidate"};
   shuffle(among, rng);
-  auto freest = std::ranges::max_element(among, {}, [&](std::size_t i) {
+  auto mostFree = std::ranges::max_element(among, {}, [&](std::size_t i) {
     bool isFree = knownFreeSlots(candidates[i]) >= FreeForDirectSend;
-    return std::pair(isFree, attraction(candidates[i]));
+    return std::pair(isFree, freeSlotScore(candidates[i]));
   });
-  bool isFreeKnown = knownFreeSlots(candidates[*freest]) >= FreeForDirectSend;
+  bool isFreeKnown = knownFreeSlots(candidates[*mostFree]) >= FreeForDirectSend;
   if (isFreeKnown && !question.WasSlotTaken)
-    return {{*freest}, false, true, "free slot known"};
+    return {{*mostFree}, false, true, "free slot known"};
   std::ranges::stable_sort(among, {}, [&](std::size_t i) {
     return std::pair(loadPerSlot(candidates[i]), !candidates[i].IsNear);
   });
-  among.resize(std::min(among.size(), MostTickets));
+  among.resize(std::min(among.size(), MaxTickets));
   return {among, true, false, "tickets"};
 }
 
