--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -91,21 +91,21 @@
   ++InFlight;
   std::string service;
   Micros timeLeft{0};
-  std::variant<Inquiry, Error> examined =
+  std::variant<RequestContext, Error> examined =
       examine(std::move(request), std::move(scope), id);
   EntryResult result = Error{};
   if (auto *fault = std::get_if<Error>(&examined)) {
     result = *fault;
   } else {
-    Inquiry &inquiry = std::get<Inquiry>(examined);
-    service = inquiry.Way.Service;
+    RequestContext &context = std::get<RequestContext>(examined);
+    service = context.Way.Service;
     bool isKeyed =
-        HasKeepers && !inquiry.IsIdempotent && !inquiry.IdempotencyKey.empty();
+        HasKeepers && !context.IsIdempotent && !context.IdempotencyKey.empty();
     if (isKeyed)
-      result = co_await performKeyed(inquiry);
+      result = co_await performKeyed(context);
     else
-      result = co_await perform(inquiry);
-    timeLeft = inquiry.Deadline - now();
+      result = co_await perform(context);
+    timeLeft = context.Deadline - now();
   }
   HttpAnswer answer;
   if (auto *error = std::get_if<Error>(&result))
@@ -145,9 +145,9 @@
   return {};
 }
 
-std::variant<Inquiry, Error> Entry::examine(HttpRequest request,
-                                            std::shared_ptr<CallScope> scope,
-                                            std::string id) {
+std::variant<RequestContext, Error>
+Entry::examine(HttpRequest request, std::shared_ptr<CallScope> scope,
+               std::string id) {
   if (!View->HasSettings)
     return makeError(ErrorKind::NoSettings, {}, DefaultRetryAfter);
   const Route *route =
@@ -163,112 +163,113 @@
   Millis timeout = allowedTime(request, policy, fault);
   if (fault)
     return *fault;
-  Inquiry inquiry;
-  inquiry.Id = std::move(id);
-  inquiry.CallerId = headerValue(request.Headers, Dialect.RequestIdHeader);
-  inquiry.Way = *route;
-  inquiry.Way.Service = Splits.choose(*route, Rng);
-  inquiry.Deadline = now() + timeout;
-  inquiry.Target = now() + policy.TargetLatency;
-  inquiry.Fingerprint = fingerprintOf(request, inquiry.Way.Service);
-  inquiry.Class = {route->Path, request.Method, std::uint64_t(bytes)};
-  inquiry.Cost = Costs.estimate(inquiry.Class, policy.LongAfter);
-  bool isUnseen = inquiry.Cost.Expected == Micros{0};
+  RequestContext context;
+  context.Id = std::move(id);
+  context.CallerId = headerValue(request.Headers, Dialect.RequestIdHeader);
+  context.Way = *route;
+  context.Way.Service = Splits.choose(*route, Rng);
+  context.Deadline = now() + timeout;
+  context.Target = now() + policy.TargetLatency;
+  context.Fingerprint = fingerprintOf(request, context.Way.Service);
+  context.Class = {route->Path, request.Method, std::uint64_t(bytes)};
+  context.Cost = Costs.estimate(context.Class, policy.LongAfter);
+  bool isUnseen = context.Cost.Expected == Micros{0};
   if (isUnseen && policy.TargetLatency < policy.Timeout)
-    inquiry.Cost.Expected = policy.TargetLatency / UnseenCostPart;
-  inquiry.IsIdempotent = policy.isIdempotent(request.Method);
-  inquiry.IdempotencyKey = headerValue(request.Headers, "Idempotency-Key");
-  if (inquiry.IdempotencyKey.size() > MostKeyBytes)
+    context.Cost.Expected = policy.TargetLatency / UnseenCostPart;
+  context.IsIdempotent = policy.isIdempotent(request.Method);
+  context.IdempotencyKey = headerValue(request.Headers, "Idempotency-Key");
+  if (context.IdempotencyKey.size() > MostKeyBytes)
     return makeError(ErrorKind::BadRequest, "Idempotency-Key is too long");
   dropNodeHeaders(Dialect, request.Headers);
   if (!Dialect.CallerServiceHeader.empty())
     request.Headers.push_back({Dialect.CallerServiceHeader, Service});
-  inquiry.Http = std::move(request);
-  inquiry.Scope = std::move(scope);
-  if (ruleFor(View->Crashes, inquiry.Fingerprint, now()) ==
+  context.Http = std::move(request);
+  context.Scope = std::move(scope);
+  if (ruleFor(View->Crashes, context.Fingerprint, now()) ==
       QuarantineRule::Refused)
     return makeError(
-        ErrorKind::Quarantined, fingerprintName(inquiry.Fingerprint),
-        toMillis(remainingTerm(View->Crashes, inquiry.Fingerprint, now())));
-  return inquiry;
+        ErrorKind::Quarantined, fingerprintName(context.Fingerprint),
+        toMillis(remainingTerm(View->Crashes, context.Fingerprint, now())));
+  return context;
 }
 
-asio::awaitable<EntryResult> Entry::performKeyed(Inquiry &inquiry) {
+asio::awaitable<EntryResult> Entry::performKeyed(RequestContext &context) {
   KeyedCall call(Executor, Links, View);
-  KeyedCall::Run run = [this](Inquiry &it) { return perform(it); };
-  co_return co_await call.perform(inquiry, run);
+  KeyedCall::Run run = [this](RequestContext &it) { return perform(it); };
+  co_return co_await call.perform(context, run);
 }
 
-asio::awaitable<EntryResult> Entry::perform(Inquiry &inquiry) {
-  RetryBudget &budget = Budgets[inquiry.Way.Service];
-  budget.noteFresh(inquiry.Way.Policy.RetryBudgetPercent);
+asio::awaitable<EntryResult> Entry::perform(RequestContext &context) {
+  RetryBudget &budget = Budgets[context.Way.Service];
+  budget.noteFresh(context.Way.Policy.RetryBudgetPercent);
   RetryBudget &errors =
-      ErrorBudgets.try_emplace(inquiry.Way.Service, makeErrorBudget())
+      ErrorBudgets.try_emplace(context.Way.Service, makeErrorBudget())
           .first->second;
   errors.noteFresh(ErrorRetryPercent);
   int freeTries = 0;
   std::optional<HttpAnswer> failure;
   for (int number = 1;; ++number) {
-    EntryResult result = co_await tryOnce(inquiry, number);
-    if (isFinalAnswer(result, inquiry.IsIdempotent))
+    EntryResult result = co_await tryOnce(context, number);
+    if (isFinalAnswer(result, context.IsIdempotent))
       co_return result;
     bool isReport = std::holds_alternative<HttpAnswer>(result);
     if (isReport && !errors.tryTake())
       co_return result;
     if (auto *answer = std::get_if<HttpAnswer>(&result)) {
       failure = std::move(*answer);
-      ++inquiry.Arrivals;
+      ++context.Arrivals;
       result = makeError(ErrorKind::EndpointFailed,
                          "answered " + std::to_string(failure->Status));
     }
     const Error &error = std::get<Error>(result);
-    inquiry.RoomRefusals += error.Kind == ErrorKind::SlotTaken;
-    inquiry.DoubtRefusals += error.Kind == ErrorKind::EndpointDoubtful;
+    context.RoomRefusals += error.Kind == ErrorKind::SlotTaken;
+    context.DoubtRefusals += error.Kind == ErrorKind::EndpointDoubtful;
     bool hasFailed = error.Kind != ErrorKind::SlotTaken;
     freeTries += isFreeRetry(error.Kind);
-    if (hasFailed && !inquiry.LastGate.empty())
-      inquiry.Tried.push_back(std::exchange(inquiry.LastGate, {}));
-    inquiry.Runs += error.Run == RunState::Unknown;
-    if (error.Run == RunState::Unknown && inquiry.Arrivals == 0)
-      inquiry.Arrivals = 1;
+    if (hasFailed && !context.LastGate.empty())
+      context.Tried.push_back(std::exchange(context.LastGate, {}));
+    context.Runs += error.Run == RunState::Unknown;
+    if (error.Run == RunState::Unknown && context.Arrivals == 0)
+      context.Arrivals = 1;
     RetryAnswer answer =
-        decideRetry({error, inquiry.IsIdempotent, number - freeTries,
-                     inquiry.Deadline - now(), inquiry.Cost.Expected,
-                     inquiry.Runs, inquiry.Way.Policy.MaxAttempts},
+        decideRetry({error, context.IsIdempotent, number - freeTries,
+                     context.Deadline - now(), context.Cost.Expected,
+                     context.Runs, context.Way.Policy.MaxAttempts},
                     budget);
     Counters.countRetry(std::string(answer.Reason));
     logEvent(LogLevel::Warn, "attempt_failed",
-             {{"request", inquiry.Id},
+             {{"request", context.Id},
               {"attempt", number},
               {"kind", answerFor(error.Kind).Name},
               {"run", toString(error.Run)},
               {"detail", error.Detail},
               {"retry", answer.Verdict == RetryVerdict::Retry},
               {"reason", answer.Reason}});
-    bool mayContinue = freeTries < MostFreeTries && !isTooLateToStart(inquiry);
+    bool mayContinue = freeTries < MostFreeTries && !isTooLateToStart(context);
     if (answer.Verdict == RetryVerdict::Retry && mayContinue)
       continue;
-    if (isOwedAnotherTry(inquiry, error)) {
-      inquiry.Tried.clear();
+    if (isOwedAnotherTry(context, error)) {
+      context.Tried.clear();
       asio::steady_timer pause(Executor, OwedTryPause);
       co_await pause.async_wait(asio::use_awaitable);
       continue;
     }
     if (failure)
       co_return std::move(*failure);
-    co_return finalError(error, inquiry.Runs > 0);
+    co_return finalError(error, context.Runs > 0);
   }
 }
 
 // Work that a gate has taken from its endpoint is not given up by a stopping
 // node because there is no room elsewhere at this moment.
-bool Entry::isOwedAnotherTry(const Inquiry &inquiry, const Error &error) const {
-  bool mayRunAgain = inquiry.IsIdempotent && inquiry.Runs > 0 &&
-                     inquiry.Runs < inquiry.Way.Policy.MaxAttempts;
-  bool hasTime = inquiry.Deadline - now() > inquiry.Cost.Expected &&
-                 !isTooLateToStart(inquiry);
+bool Entry::isOwedAnotherTry(const RequestContext &context,
+                             const Error &error) const {
+  bool mayRunAgain = context.IsIdempotent && context.Runs > 0 &&
+                     context.Runs < context.Way.Policy.MaxAttempts;
+  bool hasTime = context.Deadline - now() > context.Cost.Expected &&
+                 !isTooLateToStart(context);
   return IsWinding && mayRunAgain && error.Run == RunState::NotRun && hasTime &&
-         !inquiry.Scope->IsCancelled;
+         !context.Scope->IsCancelled;
 }
 
 /// Members of other data centres do not hear of passing standings; what a gate
@@ -284,8 +285,9 @@
                                         : gate.State;
 }
 
-std::vector<Candidate> Entry::candidates(const Inquiry &inquiry, Instant now) {
-  const std::string &service = inquiry.Way.Service;
+std::vector<Candidate> Entry::candidates(const RequestContext &context,
+                                         Instant now) {
+  const std::string &service = context.Way.Service;
   std::vector<Candidate> all;
   auto view = View->Services.find(service);
   if (view == View->Services.end())
@@ -303,7 +305,7 @@
     if (!it.IsPathUp && node != View->Nodes.end())
       Links.tryAgain(gate.Node, node->second, now);
     it.WasTried =
-        std::ranges::find(inquiry.Tried, gate.Node) != inquiry.Tried.end();
+        std::ranges::find(context.Tried, gate.Node) != context.Tried.end();
     const GateLoadView &load = Loads[loadKey(gate.Node, service)];
     it.State = standingOf(gate, load, now);
     bool isFresh = now - load.At < LoadTerm && load.At != Instant{};
@@ -318,21 +320,22 @@
 
 /// Waits a little for a candidate to appear, since news of a change may be on
 /// its way.
-asio::awaitable<RoutePlan> Entry::planRoute(Inquiry &inquiry, bool isSerialized,
+asio::awaitable<RoutePlan> Entry::planRoute(RequestContext &context,
+                                            bool isSerialized,
                                             std::vector<Candidate> &all) {
   const auto *router =
-      Registry<RouterPolicy>::instance().find(inquiry.Way.Policy.Router);
-  Instant until = std::min(now() + CandidatePatience, inquiry.Deadline);
-  RouteQuestion question{inquiry.Cost.IsLong,
-                         inquiry.IsIdempotent,
-                         inquiry.RoomRefusals > 0,
+      Registry<RouterPolicy>::instance().find(context.Way.Policy.Router);
+  Instant until = std::min(now() + CandidatePatience, context.Deadline);
+  RouteQuestion question{context.Cost.IsLong,
+                         context.IsIdempotent,
+                         context.RoomRefusals > 0,
                          isSerialized,
-                         inquiry.Fingerprint,
-                         inquiry.Way.Policy.TrialOdds,
-                         inquiry.Way.Policy.SpillsToDoubtful,
-                         inquiry.RoomRefusals};
+                         context.Fingerprint,
+                         context.Way.Policy.TrialOdds,
+                         context.Way.Policy.SpillsToDoubtful,
+                         context.RoomRefusals};
   while (true) {
-    all = candidates(inquiry, now());
+    all = candidates(context, now());
     RoutePlan plan = router->Plan(all, question, Rng);
     if (!plan.Targets.empty() || now() >= until)
       co_return plan;
@@ -341,19 +344,20 @@
   }
 }
 
-asio::awaitable<EntryResult> Entry::tryOnce(Inquiry &inquiry, int number) {
+asio::awaitable<EntryResult> Entry::tryOnce(RequestContext &context,
+                                            int number) {
   QuarantineRule rule =
-      ruleFor(View->Crashes, inquiry.Fingerprint, now(), inquiry.Crashes);
+      ruleFor(View->Crashes, context.Fingerprint, now(), context.Crashes);
   if (rule == QuarantineRule::Refused)
     co_return makeError(ErrorKind::Quarantined,
-                        fingerprintName(inquiry.Fingerprint),
-                        inquiry.Way.Policy.QuarantineTerm);
+                        fingerprintName(context.Fingerprint),
+                        context.Way.Policy.QuarantineTerm);
   bool isSerialized = rule == QuarantineRule::Serialized;
   std::vector<Candidate> all;
-  RoutePlan plan = co_await planRoute(inquiry, isSerialized, all);
+  RoutePlan plan = co_await planRoute(context, isSerialized, all);
   Attempt attempt;
-  attempt.Request = &inquiry;
-  attempt.Id = inquiry.Id + "/" + std::to_string(number);
+  attempt.Request = &context;
+  attempt.Id = context.Id + "/" + std::to_string(number);
   attempt.AwaitsGrant = plan.AwaitsGrant;
   attempt.OnlyIfFree = plan.OnlyIfFree;
   attempt.IsWaitBounded = plan.IsWaitBounded;
@@ -362,19 +366,19 @@
   attempt.Box = std::make_shared<StreamMailbox>(Executor);
   for (std::size_t i : plan.Targets) {
     auto node = View->Nodes.find(all[i].Node);
-    const auto &gates = View->Services.at(inquiry.Way.Service).Gates;
+    const auto &gates = View->Services.at(context.Way.Service).Gates;
     if (node == View->Nodes.end())
       continue;
     GateView gate = gates[i];
     gate.State = all[i].State;
     attempt.Targets.push_back({gate, node->second, nullptr, 0, false});
   }
-  logRoute(inquiry, number, attempt, plan);
+  logRoute(context, number, attempt, plan);
   if (attempt.Targets.empty())
     co_return makeError(ErrorKind::NoEndpoint, plan.Reason, DefaultRetryAfter);
-  if (inquiry.Scope->IsCancelled)
+  if (context.Scope->IsCancelled)
     co_return makeError(ErrorKind::Cancelled);
-  inquiry.Scope->OnCancel = [box = attempt.Box] {
+  context.Scope->OnCancel = [box = attempt.Box] {
     box->put({0, CancelledEvent{}});
   };
   Attempts.insert(&attempt);
@@ -384,7 +388,7 @@
   else
     result = co_await sendDirect(attempt);
   Attempts.erase(&attempt);
-  inquiry.Scope->OnCancel = nullptr;
+  context.Scope->OnCancel = nullptr;
   for (std::size_t i = 0; i < attempt.Targets.size(); ++i)
     withdraw(attempt, i);
   // Another data centre may have room.
@@ -394,23 +398,23 @@
   co_return result;
 }
 
-void Entry::logRoute(const Inquiry &inquiry, int number, const Attempt &attempt,
-                     const RoutePlan &plan) const {
+void Entry::logRoute(const RequestContext &context, int number,
+                     const Attempt &attempt, const RoutePlan &plan) const {
   if (!isLogged(LogLevel::Info))
     return;
   json chosen = json::array();
   for (const Attempt::Target &it : attempt.Targets)
     chosen.push_back(it.Gate.Node);
-  auto view = View->Services.find(inquiry.Way.Service);
+  auto view = View->Services.find(context.Way.Service);
   logEvent(LogLevel::Info, "route",
-           {{"request", inquiry.Id},
-            {"caller_id", inquiry.CallerId},
+           {{"request", context.Id},
+            {"caller_id", context.CallerId},
             {"attempt", number},
-            {"route", inquiry.Way.Path},
-            {"service", inquiry.Way.Service},
+            {"route", context.Way.Path},
+            {"service", context.Way.Service},
             {"settings_revision", View->SettingsNext},
-            {"priority", inquiry.Way.Policy.Priority},
-            {"left_ms", toMillis(inquiry.Deadline - now()).count()},
+            {"priority", context.Way.Policy.Priority},
+            {"left_ms", toMillis(context.Deadline - now()).count()},
             {"candidates",
              view == View->Services.end() ? 0 : view->second.Gates.size()},
             {"choice", chosen},
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -19,7 +19,7 @@
 class Metrics;
 
 /// A caller's request with all that has been decided about it.
-struct Inquiry {
+struct RequestContext {
   std::string Id;
   /// The caller's own id for it, if callers choose one.
   std::string CallerId;
@@ -84,14 +84,15 @@
   };
   struct Attempt;
 
-  std::variant<Inquiry, Error> examine(HttpRequest request,
-                                       std::shared_ptr<CallScope> scope,
-                                       std::string id);
-  asio::awaitable<EntryResult> perform(Inquiry &inquiry);
-  asio::awaitable<EntryResult> performKeyed(Inquiry &inquiry);
-  asio::awaitable<RoutePlan> planRoute(Inquiry &inquiry, bool isSerialized,
+  std::variant<RequestContext, Error> examine(HttpRequest request,
+                                              std::shared_ptr<CallScope> scope,
+                                              std::string id);
+  asio::awaitable<EntryResult> perform(RequestContext &context);
+  asio::awaitable<EntryResult> performKeyed(RequestContext &context);
+  asio::awaitable<RoutePlan> planRoute(RequestContext &context,
+                                       bool isSerialized,
                                        std::vector<Candidate> &all);
-  asio::awaitable<EntryResult> tryOnce(Inquiry &inquiry, int number);
+  asio::awaitable<EntryResult> tryOnce(RequestContext &context, int number);
   asio::awaitable<EntryResult> sendDirect(Attempt &attempt);
   asio::awaitable<EntryResult> leaveTickets(Attempt &attempt);
   asio::awaitable<EntryResult> awaitAnswer(Attempt &attempt,
@@ -106,7 +107,7 @@
 
   static Standing standingOf(const GateView &gate, const GateLoadView &load,
                              Instant now);
-  std::vector<Candidate> candidates(const Inquiry &inquiry, Instant now);
+  std::vector<Candidate> candidates(const RequestContext &context, Instant now);
   wire::Ticket makeTicket(const Attempt &attempt, std::size_t target) const;
   void sendCall(Attempt &attempt, std::size_t target);
   void withdraw(Attempt &attempt, std::size_t target);
@@ -117,11 +118,12 @@
                      Micros timeLeft);
   Millis allowedTime(const HttpRequest &request, const ServicePolicy &policy,
                      std::optional<Error> &fault) const;
-  void logRoute(const Inquiry &inquiry, int number, const Attempt &attempt,
-                const RoutePlan &plan) const;
+  void logRoute(const RequestContext &context, int number,
+                const Attempt &attempt, const RoutePlan &plan) const;
   std::string nextId();
-  bool isTooLateToStart(const Inquiry &inquiry) const;
-  bool isOwedAnotherTry(const Inquiry &inquiry, const Error &error) const;
+  bool isTooLateToStart(const RequestContext &context) const;
+  bool isOwedAnotherTry(const RequestContext &context,
+                        const Error &error) const;
 
   asio::any_io_executor Executor;
   std::string Node;
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -59,33 +59,33 @@
 
 wire::Ticket Entry::makeTicket(const Attempt &attempt,
                                std::size_t target) const {
-  const Inquiry &inquiry = *attempt.Request;
+  const RequestContext &context = *attempt.Request;
   const Attempt::Target &it = attempt.Targets[target];
   wire::Ticket ticket;
   ticket.attemptId = attempt.Id;
-  ticket.workspace = inquiry.Way.Workspace;
-  ticket.serviceName = inquiry.Way.Service;
+  ticket.workspace = context.Way.Workspace;
+  ticket.serviceName = context.Way.Service;
   ticket.gateBootId = it.Node.BootId;
-  ticket.timeoutMs = toMillis(inquiry.Deadline - AnswerMargin - now()).count();
+  ticket.timeoutMs = toMillis(context.Deadline - AnswerMargin - now()).count();
   ticket.linkAgeMs = it.Client->channel().ageMs();
   ticket.targetMs = std::max<std::int64_t>(
-      toMillis(inquiry.Target - AnswerMargin - now()).count(), 1);
-  ticket.expectedCostUs = inquiry.Cost.Expected.count();
-  ticket.isLong = inquiry.Cost.IsLong;
-  ticket.isIdempotent = inquiry.IsIdempotent;
-  ticket.fingerprint = std::int64_t(inquiry.Fingerprint);
-  ticket.knownCrashes = inquiry.Crashes;
+      toMillis(context.Target - AnswerMargin - now()).count(), 1);
+  ticket.expectedCostUs = context.Cost.Expected.count();
+  ticket.isLong = context.Cost.IsLong;
+  ticket.isIdempotent = context.IsIdempotent;
+  ticket.fingerprint = std::int64_t(context.Fingerprint);
+  ticket.knownCrashes = context.Crashes;
   ticket.onlyIfFree = attempt.OnlyIfFree;
   ticket.isSpill = attempt.IsSpill;
   ticket.awaitsClaim = attempt.AwaitsGrant;
-  ticket.isRepeat = inquiry.Arrivals > 0;
+  ticket.isRepeat = context.Arrivals > 0;
   ticket.acceptsDoubtful = it.Gate.State != Standing::Healthy;
-  ticket.acceptsSilent = inquiry.DoubtRefusals >= MostDoubtRefusals;
+  ticket.acceptsSilent = context.DoubtRefusals >= MostDoubtRefusals;
   if (attempt.IsWaitBounded)
-    ticket.maxWaitMs = inquiry.Way.Policy.NearWait.count();
+    ticket.maxWaitMs = context.Way.Policy.NearWait.count();
   ticket.isLastTry =
-      IsWinding || inquiry.Runs + 1 >= inquiry.Way.Policy.MaxAttempts;
-  ticket.priority = inquiry.Way.Policy.Priority;
+      IsWinding || context.Runs + 1 >= context.Way.Policy.MaxAttempts;
+  ticket.priority = context.Way.Policy.Priority;
   ticket.isSerialized = attempt.IsSerialized;
   return ticket;
 }
@@ -126,8 +126,8 @@
     }
 }
 
-bool Entry::isTooLateToStart(const Inquiry &inquiry) const {
-  Micros work = UsualRunFactor * inquiry.Cost.Expected;
+bool Entry::isTooLateToStart(const RequestContext &context) const {
+  Micros work = UsualRunFactor * context.Cost.Expected;
   return EndsAt && now() + work + AnswerTerm >= *EndsAt;
 }
 
--- a/src/libfleet/entry/entryattempt.h
+++ b/src/libfleet/entry/entryattempt.h
@@ -33,7 +33,7 @@
     std::int64_t Stream = 0;
   };
 
-  Inquiry *Request = nullptr;
+  RequestContext *Request = nullptr;
   std::string Id;
   std::vector<Target> Targets;
   /// Questions through other nodes about what became of the attempt.
--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -65,22 +65,22 @@
     : Executor(std::move(ex)), Links(links), View(view) {}
 
 wire::KeyRequest
-KeyedCall::makeRequest(const Inquiry &inquiry,
+KeyedCall::makeRequest(const RequestContext &context,
                        wire::KeyOperation::type operation) const {
   wire::KeyRequest request;
   request.operation = operation;
-  request.record.key = inquiry.Way.Workspace + '\n' + inquiry.Way.Service +
-                       '\n' + inquiry.IdempotencyKey;
-  request.record.requestId = inquiry.Id;
-  request.record.fingerprint = std::int64_t(inquiry.Fingerprint);
+  request.record.key = context.Way.Workspace + '\n' + context.Way.Service +
+                       '\n' + context.IdempotencyKey;
+  request.record.requestId = context.Id;
+  request.record.fingerprint = std::int64_t(context.Fingerprint);
   request.record.state = int(KeyState::Running);
-  request.record.lifetimeMs = inquiry.Way.Policy.KeyLifetime.count();
+  request.record.lifetimeMs = context.Way.Policy.KeyLifetime.count();
   request.rosterOffset = View->KeepersOffset;
   return request;
 }
 
 asio::awaitable<std::optional<wire::KeyReply>>
-KeyedCall::ask(const Inquiry &inquiry, wire::KeyRequest request,
+KeyedCall::ask(const RequestContext &context, wire::KeyRequest request,
                Instant until) {
   std::vector<LeaseHolder> ranked =
       rankKeepers(View->Keepers, request.record.key);
@@ -95,14 +95,14 @@
   if (!client)
     co_return std::nullopt;
   auto box = std::make_shared<StreamMailbox>(Executor);
-  inquiry.Scope->OnCancel = [box] { box->put({0, CancelledEvent{}}); };
+  context.Scope->OnCancel = [box] { box->put({0, CancelledEvent{}}); };
   wire::Frame frame;
   frame.stream = client->open(box, 0);
   std::int64_t stream = frame.stream;
   frame.__set_keyRequest(request);
   client->channel().send(std::move(frame));
   std::optional<StreamEvent> event = co_await box->next(until);
-  inquiry.Scope->OnCancel = nullptr;
+  context.Scope->OnCancel = nullptr;
   client->forget(stream);
   auto *reply = event ? std::get_if<wire::KeyReply>(&event->Content) : nullptr;
   if (!reply)
@@ -110,30 +110,31 @@
   co_return *reply;
 }
 
-asio::awaitable<EntryResult> KeyedCall::perform(Inquiry &inquiry, Run run) {
-  Instant patience = std::min(now() + GrantPatience, inquiry.Deadline);
-  while (!inquiry.Scope->IsCancelled) {
+asio::awaitable<EntryResult> KeyedCall::perform(RequestContext &context,
+                                                Run run) {
+  Instant patience = std::min(now() + GrantPatience, context.Deadline);
+  while (!context.Scope->IsCancelled) {
     Instant asked = now();
     wire::KeyRequest request =
-        makeRequest(inquiry, wire::KeyOperation::RESERVE);
+        makeRequest(context, wire::KeyOperation::RESERVE);
     std::optional<wire::KeyReply> reply =
-        co_await ask(inquiry, request, inquiry.Deadline);
+        co_await ask(context, request, context.Deadline);
     KeyVerdict verdict = reply ? verdictOf(*reply) : KeyVerdict::NotKeeper;
     bool isTimely = now() - asked < GrantAge;
     if (verdict == KeyVerdict::Granted && isTimely)
-      co_return co_await runAndRecord(inquiry, std::move(run));
+      co_return co_await runAndRecord(context, std::move(run));
     if (verdict == KeyVerdict::Done)
       co_return replay(reply->record.answer);
     bool isFinal = !isPassing(verdict) && verdict != KeyVerdict::Running &&
                    verdict != KeyVerdict::Granted;
     if (isFinal)
       co_return keyError(verdict);
-    if (verdict == KeyVerdict::Running && now() >= inquiry.Deadline)
+    if (verdict == KeyVerdict::Running && now() >= context.Deadline)
       co_return makeError(ErrorKind::DeadlineExceeded,
                           "the first run with this key has not ended",
                           RetrySoon);
     if (isPassing(verdict) && now() >= patience) {
-      co_await ask(inquiry, makeRequest(inquiry, wire::KeyOperation::RELEASE),
+      co_await ask(context, makeRequest(context, wire::KeyOperation::RELEASE),
                    now() + RecordLimit);
       co_return makeError(ErrorKind::KeeperUnavailable, {}, RetrySoon);
     }
@@ -143,16 +144,16 @@
   co_return makeError(ErrorKind::Cancelled);
 }
 
-asio::awaitable<EntryResult> KeyedCall::runAndRecord(Inquiry &inquiry,
+asio::awaitable<EntryResult> KeyedCall::runAndRecord(RequestContext &context,
                                                      Run run) {
-  EntryResult result = co_await run(inquiry);
-  co_await record(inquiry, result);
+  EntryResult result = co_await run(context);
+  co_await record(context, result);
   co_return result;
 }
 
-asio::awaitable<void> KeyedCall::record(const Inquiry &inquiry,
+asio::awaitable<void> KeyedCall::record(const RequestContext &context,
                                         const EntryResult &result) {
-  wire::KeyRequest request = makeRequest(inquiry, wire::KeyOperation::COMPLETE);
+  wire::KeyRequest request = makeRequest(context, wire::KeyOperation::COMPLETE);
   if (const auto *error = std::get_if<Error>(&result)) {
     request.record.state = int(KeyState::Unclear);
     if (error->Run == RunState::NotRun)
@@ -169,9 +170,9 @@
     }
   }
   std::optional<wire::KeyReply> reply =
-      co_await ask(inquiry, request, now() + RecordLimit);
+      co_await ask(context, request, now() + RecordLimit);
   if (!reply)
-    logEvent(LogLevel::Warn, "key_not_recorded", {{"request", inquiry.Id}});
+    logEvent(LogLevel::Warn, "key_not_recorded", {{"request", context.Id}});
 }
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/keys/keyedcall.h
+++ b/src/libfleet/keys/keyedcall.h
@@ -11,21 +11,21 @@
 /// first, and gives the first run's answer to resent copies.
 class KeyedCall {
 public:
-  using Run = std::function<asio::awaitable<EntryResult>(Inquiry &)>;
+  using Run = std::function<asio::awaitable<EntryResult>(RequestContext &)>;
 
   KeyedCall(asio::any_io_executor ex, PeerLinks &links,
             const FleetViewPtr &view);
 
-  asio::awaitable<EntryResult> perform(Inquiry &inquiry, Run run);
+  asio::awaitable<EntryResult> perform(RequestContext &context, Run run);
 
 private:
   /// What the keeper said; nothing if it could not be asked.
   asio::awaitable<std::optional<wire::KeyReply>>
-  ask(const Inquiry &inquiry, wire::KeyRequest request, Instant until);
-  asio::awaitable<EntryResult> runAndRecord(Inquiry &inquiry, Run run);
-  asio::awaitable<void> record(const Inquiry &inquiry,
+  ask(const RequestContext &context, wire::KeyRequest request, Instant until);
+  asio::awaitable<EntryResult> runAndRecord(RequestContext &context, Run run);
+  asio::awaitable<void> record(const RequestContext &context,
                                const EntryResult &result);
-  wire::KeyRequest makeRequest(const Inquiry &inquiry,
+  wire::KeyRequest makeRequest(const RequestContext &context,
                                wire::KeyOperation::type operation) const;
 
   asio::any_io_executor Executor;
