--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -98,7 +98,7 @@
     result = *fault;
   } else {
     RequestContext &context = std::get<RequestContext>(examined);
-    service = context.Way.Service;
+    service = context.MatchedRoute.Service;
     bool isKeyed =
         HasKeepers && !context.IsIdempotent && !context.IdempotencyKey.empty();
     if (isKeyed)
@@ -166,11 +166,11 @@
   RequestContext context;
   context.Id = std::move(id);
   context.CallerId = headerValue(request.Headers, Dialect.RequestIdHeader);
-  context.Way = *route;
-  context.Way.Service = Splits.choose(*route, Rng);
+  context.MatchedRoute = *route;
+  context.MatchedRoute.Service = Splits.choose(*route, Rng);
   context.Deadline = now() + timeout;
   context.Target = now() + policy.TargetLatency;
-  context.Fingerprint = fingerprintOf(request, context.Way.Service);
+  context.Fingerprint = fingerprintOf(request, context.MatchedRoute.Service);
   context.Class = {route->Path, request.Method, std::uint64_t(bytes)};
   context.Cost = Costs.estimate(context.Class, policy.LongAfter);
   bool isUnseen = context.Cost.Expected == Micros{0};
@@ -200,10 +200,10 @@
 }
 
 asio::awaitable<EntryResult> Entry::perform(RequestContext &context) {
-  RetryBudget &budget = Budgets[context.Way.Service];
-  budget.noteFresh(context.Way.Policy.RetryBudgetPercent);
+  RetryBudget &budget = Budgets[context.MatchedRoute.Service];
+  budget.noteFresh(context.MatchedRoute.Policy.RetryBudgetPercent);
   RetryBudget &errors =
-      ErrorBudgets.try_emplace(context.Way.Service, makeErrorBudget())
+      ErrorBudgets.try_emplace(context.MatchedRoute.Service, makeErrorBudget())
           .first->second;
   errors.noteFresh(ErrorRetryPercent);
   int freeTries = 0;
@@ -234,7 +234,7 @@
     RetryAnswer answer =
         decideRetry({error, context.IsIdempotent, number - freeTries,
                      context.Deadline - now(), context.Cost.Expected,
-                     context.Runs, context.Way.Policy.MaxAttempts},
+                     context.Runs, context.MatchedRoute.Policy.MaxAttempts},
                     budget);
     Counters.countRetry(std::string(answer.Reason));
     logEvent(LogLevel::Warn, "attempt_failed",
@@ -265,7 +265,7 @@
 bool Entry::isOwedAnotherTry(const RequestContext &context,
                              const Error &error) const {
   bool mayRunAgain = context.IsIdempotent && context.Runs > 0 &&
-                     context.Runs < context.Way.Policy.MaxAttempts;
+                     context.Runs < context.MatchedRoute.Policy.MaxAttempts;
   bool hasTime = context.Deadline - now() > context.Cost.Expected &&
                  !isTooLateToStart(context);
   return IsWinding && mayRunAgain && error.Run == RunState::NotRun && hasTime &&
@@ -287,7 +287,7 @@
 
 std::vector<Candidate> Entry::candidates(const RequestContext &context,
                                          Instant now) {
-  const std::string &service = context.Way.Service;
+  const std::string &service = context.MatchedRoute.Service;
   std::vector<Candidate> all;
   auto view = View->Services.find(service);
   if (view == View->Services.end())
@@ -323,16 +323,16 @@
 asio::awaitable<RoutePlan> Entry::planRoute(RequestContext &context,
                                             bool isSerialized,
                                             std::vector<Candidate> &all) {
-  const auto *router =
-      Registry<RouterPolicy>::instance().find(context.Way.Policy.Router);
+  const auto *router = Registry<RouterPolicy>::instance().find(
+      context.MatchedRoute.Policy.Router);
   Instant until = std::min(now() + CandidatePatience, context.Deadline);
   RouteQuestion question{context.Cost.IsLong,
                          context.IsIdempotent,
                          context.RoomRefusals > 0,
                          isSerialized,
                          context.Fingerprint,
-                         context.Way.Policy.TrialOdds,
-                         context.Way.Policy.SpillsToDoubtful,
+                         context.MatchedRoute.Policy.TrialOdds,
+                         context.MatchedRoute.Policy.SpillsToDoubtful,
                          context.RoomRefusals};
   while (true) {
     all = candidates(context, now());
@@ -351,7 +351,7 @@
   if (rule == QuarantineRule::Refused)
     co_return makeError(ErrorKind::Quarantined,
                         fingerprintName(context.Fingerprint),
-                        context.Way.Policy.QuarantineTerm);
+                        context.MatchedRoute.Policy.QuarantineTerm);
   bool isSerialized = rule == QuarantineRule::Serialized;
   std::vector<Candidate> all;
   RoutePlan plan = co_await planRoute(context, isSerialized, all);
@@ -366,7 +366,7 @@
   attempt.Box = std::make_shared<StreamMailbox>(Executor);
   for (std::size_t i : plan.Targets) {
     auto node = View->Nodes.find(all[i].Node);
-    const auto &gates = View->Services.at(context.Way.Service).Gates;
+    const auto &gates = View->Services.at(context.MatchedRoute.Service).Gates;
     if (node == View->Nodes.end())
       continue;
     GateView gate = gates[i];
@@ -405,15 +405,15 @@
   json chosen = json::array();
   for (const Attempt::Target &it : attempt.Targets)
     chosen.push_back(it.Gate.Node);
-  auto view = View->Services.find(context.Way.Service);
+  auto view = View->Services.find(context.MatchedRoute.Service);
   logEvent(LogLevel::Info, "route",
            {{"request", context.Id},
             {"caller_id", context.CallerId},
             {"attempt", number},
-            {"route", context.Way.Path},
-            {"service", context.Way.Service},
+            {"route", context.MatchedRoute.Path},
+            {"service", context.MatchedRoute.Service},
             {"settings_revision", View->SettingsNext},
-            {"priority", context.Way.Policy.Priority},
+            {"priority", context.MatchedRoute.Policy.Priority},
             {"left_ms", toMillis(context.Deadline - now()).count()},
             {"candidates",
              view == View->Services.end() ? 0 : view->second.Gates.size()},
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -24,7 +24,7 @@
   /// The caller's own id for it, if callers choose one.
   std::string CallerId;
   HttpRequest Http;
-  Route Way;
+  Route MatchedRoute;
   Instant Deadline;
   /// Until when an answer has its full value.
   Instant Target;
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -53,7 +53,8 @@
     co_return false;
   it.Stream = it.Client->open(attempt.Box, target);
   it.IsOpen = true;
-  ++Loads[loadKey(it.Gate.Node, attempt.Request->Way.Service)].Outstanding;
+  ++Loads[loadKey(it.Gate.Node, attempt.Request->MatchedRoute.Service)]
+        .Outstanding;
   co_return true;
 }
 
@@ -63,8 +64,8 @@
   const Attempt::Target &it = attempt.Targets[target];
   wire::Ticket ticket;
   ticket.attemptId = attempt.Id;
-  ticket.workspace = context.Way.Workspace;
-  ticket.serviceName = context.Way.Service;
+  ticket.workspace = context.MatchedRoute.Workspace;
+  ticket.serviceName = context.MatchedRoute.Service;
   ticket.gateBootId = it.Node.BootId;
   ticket.timeoutMs = toMillis(context.Deadline - AnswerMargin - now()).count();
   ticket.linkAgeMs = it.Client->channel().ageMs();
@@ -82,10 +83,10 @@
   ticket.acceptsDoubtful = it.Gate.State != Standing::Healthy;
   ticket.acceptsSilent = context.DoubtRefusals >= MostDoubtRefusals;
   if (attempt.IsWaitBounded)
-    ticket.maxWaitMs = context.Way.Policy.NearWait.count();
+    ticket.maxWaitMs = context.MatchedRoute.Policy.NearWait.count();
   ticket.isLastTry =
-      IsWinding || context.Runs + 1 >= context.Way.Policy.MaxAttempts;
-  ticket.priority = context.Way.Policy.Priority;
+      IsWinding || context.Runs + 1 >= context.MatchedRoute.Policy.MaxAttempts;
+  ticket.priority = context.MatchedRoute.Policy.Priority;
   ticket.isSerialized = attempt.IsSerialized;
   return ticket;
 }
@@ -152,7 +153,8 @@
   if (!it.IsOpen)
     return;
   it.IsOpen = false;
-  --Loads[loadKey(it.Gate.Node, attempt.Request->Way.Service)].Outstanding;
+  --Loads[loadKey(it.Gate.Node, attempt.Request->MatchedRoute.Service)]
+        .Outstanding;
   it.Client->forget(it.Stream);
   wire::Frame frame;
   frame.stream = it.Stream;
@@ -209,7 +211,7 @@
       if (last.Kind != ErrorKind::Overloaded)
         attempt.Request->Tried.push_back(attempt.Targets[event->Tag].Gate.Node);
       noteLoad(attempt.Targets[event->Tag].Gate.Node,
-               attempt.Request->Way.Service, failure->load);
+               attempt.Request->MatchedRoute.Service, failure->load);
     }
     withdraw(attempt, event->Tag);
     --open;
@@ -219,7 +221,7 @@
 
 asio::awaitable<EntryResult> Entry::awaitAnswer(Attempt &attempt,
                                                 std::size_t target) {
-  const std::string &service = attempt.Request->Way.Service;
+  const std::string &service = attempt.Request->MatchedRoute.Service;
   const std::string &node = attempt.Targets[target].Gate.Node;
   while (true) {
     std::optional<StreamEvent> event =
--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -69,12 +69,13 @@
                        wire::KeyOperation::type operation) const {
   wire::KeyRequest request;
   request.operation = operation;
-  request.record.key = context.Way.Workspace + '\n' + context.Way.Service +
-                       '\n' + context.IdempotencyKey;
+  request.record.key = context.MatchedRoute.Workspace + '\n' +
+                       context.MatchedRoute.Service + '\n' +
+                       context.IdempotencyKey;
   request.record.requestId = context.Id;
   request.record.fingerprint = std::int64_t(context.Fingerprint);
   request.record.state = int(KeyState::Running);
-  request.record.lifetimeMs = context.Way.Policy.KeyLifetime.count();
+  request.record.lifetimeMs = context.MatchedRoute.Policy.KeyLifetime.count();
   request.rosterOffset = View->KeepersOffset;
   return request;
 }
