--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -268,8 +268,8 @@
                      context.Runs < context.MatchedRoute.Policy.MaxAttempts;
   bool hasTime = context.Deadline - now() > context.Cost.Expected &&
                  !isTooLateToStart(context);
-  return IsWinding && mayRunAgain && error.Run == RunState::NotRun && hasTime &&
-         !context.Scope->IsCancelled;
+  return IsDraining && mayRunAgain && error.Run == RunState::NotRun &&
+         hasTime && !context.Scope->IsCancelled;
 }
 
 /// Members of other data centres do not hear of passing standings; what a gate
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -66,7 +66,7 @@
   std::size_t inFlight() const { return InFlight; }
 
   /// The node stops: work that runs stays where it is until it ends.
-  void wind();
+  void beginDrain();
 
   /// The node ends at this time: what cannot be finished before is answered
   /// while there is time to. Called again and again until the end.
@@ -146,7 +146,7 @@
   Random Rng;
   std::uint64_t Requests = 0;
   std::size_t InFlight = 0;
-  bool IsWinding = false;
+  bool IsDraining = false;
   /// When the node ends, while it stops.
   std::optional<Instant> EndsAt;
   std::set<Attempt *> Attempts;
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -85,7 +85,7 @@
   if (attempt.IsWaitBounded)
     ticket.maxWaitMs = context.MatchedRoute.Policy.NearWait.count();
   ticket.isLastTry =
-      IsWinding || context.Runs + 1 >= context.MatchedRoute.Policy.MaxAttempts;
+      IsDraining || context.Runs + 1 >= context.MatchedRoute.Policy.MaxAttempts;
   ticket.priority = context.MatchedRoute.Policy.Priority;
   ticket.isSerialized = attempt.IsSerialized;
   return ticket;
@@ -114,8 +114,8 @@
 }
 
 // A stopping node that tried again elsewhere might end before the second try.
-void Entry::wind() {
-  IsWinding = true;
+void Entry::beginDrain() {
+  IsDraining = true;
   for (Attempt *attempt : Attempts)
     for (Attempt::Target &it : attempt->Targets) {
       if (!it.IsOpen)
--- a/src/libfleet/http/httpfront.cpp
+++ b/src/libfleet/http/httpfront.cpp
@@ -290,7 +290,7 @@
   accept();
 }
 
-void HttpFront::wind() { State->IsStopping = true; }
+void HttpFront::beginDrain() { State->IsStopping = true; }
 
 void HttpFront::stop() {
   State->IsStopping = true;
--- a/src/libfleet/http/httpfront.h
+++ b/src/libfleet/http/httpfront.h
@@ -57,7 +57,7 @@
 
   /// Open connections close after their next answer; new ones are taken for
   /// one request.
-  void wind();
+  void beginDrain();
 
   /// Takes the connections that have come and no more; idle ones are closed,
   /// the others after their answer.
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -412,13 +412,13 @@
     return true;
   });
   Traffic[0]->call([this] {
-    Callers->wind();
+    Callers->beginDrain();
     Gate->drainNow();
     return true;
   });
   for (std::size_t i = 0; i < Entries.size(); ++i)
     Traffic[i]->call([this, i] {
-      Entries[i]->wind();
+      Entries[i]->beginDrain();
       return true;
     });
   if (!Platform)
