--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -70,7 +70,7 @@
 
   /// The node ends at this time: what cannot be finished before is answered
   /// while there is time to. Called again and again until the end.
-  void settle(Instant end);
+  void enforceShutdownDeadline(Instant end);
 
   asio::awaitable<HttpAnswer> serve(HttpRequest request,
                                     std::shared_ptr<CallScope> scope);
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -134,7 +134,7 @@
 
 // Work that waits would be cut off in the middle if it started too late. It has
 // not run, and its caller can go elsewhere.
-void Entry::settle(Instant end) {
+void Entry::enforceShutdownDeadline(Instant end) {
   EndsAt = end;
   bool isOver = now() + AnswerTerm >= end;
   for (Attempt *attempt : Attempts) {
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -435,7 +435,8 @@
         return true;
       });
     for (std::size_t i = 0; i < Entries.size(); ++i)
-      asio::post(Traffic[i]->Io, [this, i, end] { Entries[i]->settle(end); });
+      asio::post(Traffic[i]->Io,
+                 [this, i, end] { Entries[i]->enforceShutdownDeadline(end); });
     isClean = hasLingered && isQuiet();
   }
   for (auto &loop : Traffic)
