--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -91,13 +91,13 @@
   ++InFlight;
   std::string service;
   Micros timeLeft{0};
-  std::variant<RequestContext, Error> examined =
-      examine(std::move(request), std::move(scope), id);
+  std::variant<RequestContext, Error> prepared =
+      prepareRequest(std::move(request), std::move(scope), id);
   EntryResult result = Error{};
-  if (auto *fault = std::get_if<Error>(&examined)) {
+  if (auto *fault = std::get_if<Error>(&prepared)) {
     result = *fault;
   } else {
-    RequestContext &context = std::get<RequestContext>(examined);
+    RequestContext &context = std::get<RequestContext>(prepared);
     service = context.MatchedRoute.Service;
     bool isKeyed =
         HasKeepers && !context.IsIdempotent && !context.IdempotencyKey.empty();
@@ -146,8 +146,8 @@
 }
 
 std::variant<RequestContext, Error>
-Entry::examine(HttpRequest request, std::shared_ptr<CallScope> scope,
-               std::string id) {
+Entry::prepareRequest(HttpRequest request, std::shared_ptr<CallScope> scope,
+                      std::string id) {
   if (!View->HasSettings)
     return makeError(ErrorKind::NoSettings, {}, DefaultRetryAfter);
   const Route *route =
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -84,9 +84,9 @@
   };
   struct Attempt;
 
-  std::variant<RequestContext, Error> examine(HttpRequest request,
-                                              std::shared_ptr<CallScope> scope,
-                                              std::string id);
+  std::variant<RequestContext, Error>
+  prepareRequest(HttpRequest request, std::shared_ptr<CallScope> scope,
+                 std::string id);
   asio::awaitable<EntryResult> perform(RequestContext &context);
   asio::awaitable<EntryResult> performKeyed(RequestContext &context);
   asio::awaitable<RoutePlan> planRoute(RequestContext &context,
