--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -384,7 +384,7 @@
   Attempts.insert(&attempt);
   EntryResult result;
   if (attempt.AwaitsGrant)
-    result = co_await leaveTickets(attempt);
+    result = co_await sendTickets(attempt);
   else
     result = co_await sendDirect(attempt);
   Attempts.erase(&attempt);
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -94,7 +94,7 @@
                                        std::vector<Candidate> &all);
   asio::awaitable<EntryResult> tryOnce(RequestContext &context, int number);
   asio::awaitable<EntryResult> sendDirect(Attempt &attempt);
-  asio::awaitable<EntryResult> leaveTickets(Attempt &attempt);
+  asio::awaitable<EntryResult> sendTickets(Attempt &attempt);
   asio::awaitable<EntryResult> awaitAnswer(Attempt &attempt,
                                            std::size_t target);
   asio::awaitable<EntryResult> resolve(Attempt &attempt, std::size_t target);
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -172,7 +172,7 @@
   co_return co_await awaitAnswer(attempt, 0);
 }
 
-asio::awaitable<EntryResult> Entry::leaveTickets(Attempt &attempt) {
+asio::awaitable<EntryResult> Entry::sendTickets(Attempt &attempt) {
   std::size_t open = 0;
   for (std::size_t i = 0; i < attempt.Targets.size(); ++i) {
     bool isOpen = co_await openTarget(attempt, i);
