--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -97,7 +97,8 @@
   asio::awaitable<EntryResult> sendTickets(Attempt &attempt);
   asio::awaitable<EntryResult> awaitAnswer(Attempt &attempt,
                                            std::size_t target);
-  asio::awaitable<EntryResult> resolve(Attempt &attempt, std::size_t target);
+  asio::awaitable<EntryResult> resolveOutcome(Attempt &attempt,
+                                              std::size_t target);
   std::optional<EntryResult> verdictOf(Attempt &attempt,
                                        StreamEvent &event) const;
   asio::awaitable<bool> askGate(Attempt &attempt, std::size_t target);
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -251,15 +251,15 @@
       continue;
     if (attempt.Request->IsIdempotent)
       co_return makeError(ErrorKind::GateLost, "the link to the gate was lost");
-    co_return co_await resolve(attempt, target);
+    co_return co_await resolveOutcome(attempt, target);
   }
 }
 
 /// After a lost link, asks the gate over a fresh one, or through another node
 /// that may still reach it, what became of the attempt: it is fenced, or its
 /// answer follows.
-asio::awaitable<EntryResult> Entry::resolve(Attempt &attempt,
-                                            std::size_t target) {
+asio::awaitable<EntryResult> Entry::resolveOutcome(Attempt &attempt,
+                                                   std::size_t target) {
   withdraw(attempt, target);
   std::optional<EntryResult> verdict;
   while (!verdict && now() < attempt.Request->Deadline) {
