--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -99,8 +99,8 @@
                                            std::size_t target);
   asio::awaitable<EntryResult> resolveOutcome(Attempt &attempt,
                                               std::size_t target);
-  std::optional<EntryResult> verdictOf(Attempt &attempt,
-                                       StreamEvent &event) const;
+  std::optional<EntryResult> resultFrom(Attempt &attempt,
+                                        StreamEvent &event) const;
   asio::awaitable<bool> askGate(Attempt &attempt, std::size_t target);
   asio::awaitable<bool> askThroughPeer(Attempt &attempt, std::size_t target);
   std::string pickHelper(const Attempt &attempt, std::size_t target);
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -277,7 +277,7 @@
         co_await attempt.Box->next(attempt.waitUntil());
     if (!event)
       break;
-    verdict = verdictOf(attempt, *event);
+    verdict = resultFrom(attempt, *event);
     withdraw(attempt, target);
   }
   for (const Attempt::RelayedQuestion &it : attempt.Relayed)
@@ -291,8 +291,8 @@
 
 /// What a gate's reply means for the attempt; nothing if it has to be asked
 /// again.
-std::optional<EntryResult> Entry::verdictOf(Attempt &attempt,
-                                            StreamEvent &event) const {
+std::optional<EntryResult> Entry::resultFrom(Attempt &attempt,
+                                             StreamEvent &event) const {
   if (auto *revoked = std::get_if<RevokedEvent>(&event.Content)) {
     if (revoked->IsUnreachable)
       return std::nullopt;
