--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -101,9 +101,9 @@
                                               std::size_t target);
   std::optional<EntryResult> resultFrom(Attempt &attempt,
                                         StreamEvent &event) const;
-  asio::awaitable<bool> askGate(Attempt &attempt, std::size_t target);
-  asio::awaitable<bool> askThroughPeer(Attempt &attempt, std::size_t target);
-  std::string pickHelper(const Attempt &attempt, std::size_t target);
+  asio::awaitable<bool> queryGate(Attempt &attempt, std::size_t target);
+  asio::awaitable<bool> queryThroughPeer(Attempt &attempt, std::size_t target);
+  std::string pickRelay(const Attempt &attempt, std::size_t target);
   asio::awaitable<bool> openTarget(Attempt &attempt, std::size_t target);
 
   static Standing standingOf(const GateView &gate, const GateLoadView &load,
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -265,9 +265,9 @@
   while (!verdict && now() < attempt.Request->Deadline) {
     if (attempt.Request->Scope->IsCancelled)
       co_return makeError(ErrorKind::Cancelled);
-    bool isAsked = co_await askGate(attempt, target);
+    bool isAsked = co_await queryGate(attempt, target);
     if (!isAsked)
-      isAsked = co_await askThroughPeer(attempt, target);
+      isAsked = co_await queryThroughPeer(attempt, target);
     if (!isAsked) {
       asio::steady_timer pause(Executor, ResolvePause);
       co_await pause.async_wait(asio::use_awaitable);
@@ -313,7 +313,7 @@
   return std::nullopt;
 }
 
-asio::awaitable<bool> Entry::askGate(Attempt &attempt, std::size_t target) {
+asio::awaitable<bool> Entry::queryGate(Attempt &attempt, std::size_t target) {
   bool isOpen = co_await openTarget(attempt, target);
   if (!isOpen)
     co_return false;
@@ -327,9 +327,9 @@
 }
 
 /// Paths between nodes may be cut one by one: each node is asked once.
-asio::awaitable<bool> Entry::askThroughPeer(Attempt &attempt,
-                                            std::size_t target) {
-  std::string helper = pickHelper(attempt, target);
+asio::awaitable<bool> Entry::queryThroughPeer(Attempt &attempt,
+                                              std::size_t target) {
+  std::string helper = pickRelay(attempt, target);
   auto view = View->Nodes.find(helper);
   if (view == View->Nodes.end())
     co_return false;
@@ -356,7 +356,7 @@
   co_return true;
 }
 
-std::string Entry::pickHelper(const Attempt &attempt, std::size_t target) {
+std::string Entry::pickRelay(const Attempt &attempt, std::size_t target) {
   std::vector<std::string> all;
   for (const auto &[node, view] : View->Nodes) {
     bool isUsed = std::ranges::find(attempt.Relayed, node,
