--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-wire::Revoke Entry::Attempt::question(std::size_t target) const {
+wire::Revoke Entry::Attempt::makeRevoke(std::size_t target) const {
   wire::Revoke revoke;
   revoke.attemptId = Id;
   revoke.gateBootId = Targets[target].Node.BootId;
@@ -280,7 +280,7 @@
     verdict = resultFrom(attempt, *event);
     withdraw(attempt, target);
   }
-  for (const Attempt::RelayedQuestion &it : attempt.Relayed)
+  for (const Attempt::RelayedQuery &it : attempt.Relayed)
     if (it.Client)
       it.Client->forget(it.Stream);
   if (verdict)
@@ -320,7 +320,7 @@
   Attempt::Target &it = attempt.Targets[target];
   wire::Frame frame;
   frame.stream = it.Stream;
-  frame.revoke = attempt.question(target);
+  frame.revoke = attempt.makeRevoke(target);
   frame.__isset.revoke = true;
   it.Client->channel().send(std::move(frame));
   co_return true;
@@ -344,12 +344,12 @@
             {"reached", client != nullptr}});
   if (!client)
     co_return false;
-  Attempt::RelayedQuestion &question = attempt.Relayed.back();
+  Attempt::RelayedQuery &question = attempt.Relayed.back();
   question.Client = client;
   question.Stream = client->open(attempt.Box, target);
   wire::Frame frame;
   frame.stream = question.Stream;
-  frame.revoke = attempt.question(target);
+  frame.revoke = attempt.makeRevoke(target);
   frame.revoke.askedNode = attempt.Targets[target].Gate.Node;
   frame.__isset.revoke = true;
   client->channel().send(std::move(frame));
@@ -360,7 +360,7 @@
   std::vector<std::string> all;
   for (const auto &[node, view] : View->Nodes) {
     bool isUsed = std::ranges::find(attempt.Relayed, node,
-                                    &Attempt::RelayedQuestion::Node) !=
+                                    &Attempt::RelayedQuery::Node) !=
                   attempt.Relayed.end();
     bool isEnd = node == Node || node == attempt.Targets[target].Gate.Node;
     if (!isEnd && !isUsed && Links.isPathUp(node, now()))
--- a/src/libfleet/entry/entryattempt.h
+++ b/src/libfleet/entry/entryattempt.h
@@ -27,7 +27,7 @@
   };
 
   /// A question to the gate that another node passes on.
-  struct RelayedQuestion {
+  struct RelayedQuery {
     std::string Node;
     std::shared_ptr<GateClient> Client;
     std::int64_t Stream = 0;
@@ -37,7 +37,7 @@
   std::string Id;
   std::vector<Target> Targets;
   /// Questions through other nodes about what became of the attempt.
-  std::vector<RelayedQuestion> Relayed;
+  std::vector<RelayedQuery> Relayed;
   std::shared_ptr<StreamMailbox> Box;
   bool AwaitsGrant = false;
   bool OnlyIfFree = false;
@@ -53,7 +53,7 @@
   bool isWaiting() const { return AwaitsGrant && !IsGranted; }
 
   /// Asks a gate what became of the attempt.
-  wire::Revoke question(std::size_t target) const;
+  wire::Revoke makeRevoke(std::size_t target) const;
 
   Instant waitUntil() const { return Request->Deadline + VerdictGrace; }
 };
