--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -34,7 +34,7 @@
 constexpr Micros ReportedStandingTerm = std::chrono::seconds(1);
 
 /// Between tries of a request that a stopping node still has to place.
-constexpr Micros OwedTryPause = std::chrono::milliseconds(100);
+constexpr Micros DrainRetryPause = std::chrono::milliseconds(100);
 
 constexpr std::size_t MostKeyBytes = 255;
 constexpr Millis LongestTimeout = std::chrono::hours(24);
@@ -248,9 +248,9 @@
     bool mayContinue = freeTries < MostFreeTries && !isTooLateToStart(context);
     if (answer.Verdict == RetryVerdict::Retry && mayContinue)
       continue;
-    if (isOwedAnotherTry(context, error)) {
+    if (mayRetryDuringDrain(context, error)) {
       context.Tried.clear();
-      asio::steady_timer pause(Executor, OwedTryPause);
+      asio::steady_timer pause(Executor, DrainRetryPause);
       co_await pause.async_wait(asio::use_awaitable);
       continue;
     }
@@ -262,8 +262,8 @@
 
 // Work that a gate has taken from its endpoint is not given up by a stopping
 // node because there is no room elsewhere at this moment.
-bool Entry::isOwedAnotherTry(const RequestContext &context,
-                             const Error &error) const {
+bool Entry::mayRetryDuringDrain(const RequestContext &context,
+                                const Error &error) const {
   bool mayRunAgain = context.IsIdempotent && context.Runs > 0 &&
                      context.Runs < context.MatchedRoute.Policy.MaxAttempts;
   bool hasTime = context.Deadline - now() > context.Cost.Expected &&
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -123,8 +123,8 @@
                 const Attempt &attempt, const RoutePlan &plan) const;
   std::string nextId();
   bool isTooLateToStart(const RequestContext &context) const;
-  bool isOwedAnotherTry(const RequestContext &context,
-                        const Error &error) const;
+  bool mayRetryDuringDrain(const RequestContext &context,
+                           const Error &error) const;
 
   asio::any_io_executor Executor;
   std::string Node;
