--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -390,7 +390,7 @@
   Attempts.erase(&attempt);
   context.Scope->OnCancel = nullptr;
   for (std::size_t i = 0; i < attempt.Targets.size(); ++i)
-    withdraw(attempt, i);
+    cancelStream(attempt, i);
   // Another data centre may have room.
   auto *error = std::get_if<Error>(&result);
   if (error && attempt.IsWaitBounded && error->Kind == ErrorKind::Overloaded)
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -111,7 +111,7 @@
   std::vector<Candidate> candidates(const RequestContext &context, Instant now);
   wire::Ticket makeTicket(const Attempt &attempt, std::size_t target) const;
   void sendCall(Attempt &attempt, std::size_t target);
-  void withdraw(Attempt &attempt, std::size_t target);
+  void cancelStream(Attempt &attempt, std::size_t target);
   void noteLoad(const std::string &node, const std::string &service,
                 const wire::Load &load);
   Error toError(Attempt &attempt, const wire::Failure &failure) const;
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -148,7 +148,7 @@
 }
 
 /// Ends a stream that is still open, telling the gate to stop.
-void Entry::withdraw(Attempt &attempt, std::size_t target) {
+void Entry::cancelStream(Attempt &attempt, std::size_t target) {
   Attempt::Target &it = attempt.Targets[target];
   if (!it.IsOpen)
     return;
@@ -201,7 +201,7 @@
       attempt.IsGranted = true;
       for (std::size_t i = 0; i < attempt.Targets.size(); ++i)
         if (i != event->Tag)
-          withdraw(attempt, i);
+          cancelStream(attempt, i);
       attempt.Request->LastGate = attempt.Targets[event->Tag].Gate.Node;
       sendCall(attempt, event->Tag);
       co_return co_await awaitAnswer(attempt, event->Tag);
@@ -213,7 +213,7 @@
       noteLoad(attempt.Targets[event->Tag].Gate.Node,
                attempt.Request->MatchedRoute.Service, failure->load);
     }
-    withdraw(attempt, event->Tag);
+    cancelStream(attempt, event->Tag);
     --open;
   }
   co_return last;
@@ -260,7 +260,7 @@
 /// answer follows.
 asio::awaitable<EntryResult> Entry::resolveOutcome(Attempt &attempt,
                                                    std::size_t target) {
-  withdraw(attempt, target);
+  cancelStream(attempt, target);
   std::optional<EntryResult> verdict;
   while (!verdict && now() < attempt.Request->Deadline) {
     if (attempt.Request->Scope->IsCancelled)
@@ -278,7 +278,7 @@
     if (!event)
       break;
     verdict = resultFrom(attempt, *event);
-    withdraw(attempt, target);
+    cancelStream(attempt, target);
   }
   for (const Attempt::RelayedQuery &it : attempt.Relayed)
     if (it.Client)
