--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -20,7 +20,7 @@
 using nlohmann::json;
 
 /// How long a request waits for its service to have a candidate.
-constexpr Micros CandidatePatience = std::chrono::milliseconds(200);
+constexpr Micros CandidateWait = std::chrono::milliseconds(200);
 
 /// A gate's report older than this says nothing any more.
 constexpr Micros LoadTerm = std::chrono::milliseconds(500);
@@ -325,7 +325,7 @@
                                             std::vector<Candidate> &all) {
   const auto *router = Registry<RouterPolicy>::instance().find(
       context.MatchedRoute.Policy.Router);
-  Instant until = std::min(now() + CandidatePatience, context.Deadline);
+  Instant until = std::min(now() + CandidateWait, context.Deadline);
   RouteQuestion question{context.Cost.IsLong,
                          context.IsIdempotent,
                          context.RoomRefusals > 0,
