--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -23,7 +23,7 @@
 constexpr Micros CandidateWait = std::chrono::milliseconds(200);
 
 /// A gate's report older than this says nothing any more.
-constexpr Micros LoadTerm = std::chrono::milliseconds(500);
+constexpr Micros LoadReportMaxAge = std::chrono::milliseconds(500);
 
 /// Part of its target latency that a class of requests is taken to need until
 /// one has been seen: operators set targets to a few times the usual run time.
@@ -31,7 +31,7 @@
 
 /// How long a gate's word on its endpoint's standing counts: a doubtful
 /// endpoint rests for about as long.
-constexpr Micros ReportedStandingTerm = std::chrono::seconds(1);
+constexpr Micros ReportedStandingMaxAge = std::chrono::seconds(1);
 
 /// Between tries of a request that a stopping node still has to place.
 constexpr Micros DrainRetryPause = std::chrono::milliseconds(100);
@@ -278,7 +278,7 @@
                            Instant now) {
   bool isTold = load.Load.standing > 0 &&
                 load.Load.standing <= 1 + int(Standing::Draining);
-  bool isFresh = load.At != Instant{} && now - load.At < ReportedStandingTerm;
+  bool isFresh = load.At != Instant{} && now - load.At < ReportedStandingMaxAge;
   bool isRecord =
       gate.State == Standing::Draining || gate.State == Standing::Ejected;
   return isTold && isFresh && !isRecord ? Standing(load.Load.standing - 1)
@@ -308,7 +308,7 @@
         std::ranges::find(context.Tried, gate.Node) != context.Tried.end();
     const GateLoadView &load = Loads[loadKey(gate.Node, service)];
     it.State = standingOf(gate, load, now);
-    bool isFresh = now - load.At < LoadTerm && load.At != Instant{};
+    bool isFresh = now - load.At < LoadReportMaxAge && load.At != Instant{};
     it.FreeSlots = isFresh ? load.Load.freeSlots
                            : std::max(gate.Slots - load.Outstanding, 0);
     it.Queued = isFresh ? load.Load.queued : 0;
