--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -18,7 +18,7 @@
 constexpr Micros AnswerMargin = std::chrono::milliseconds(2);
 
 /// Time to write the last answers before the node ends.
-constexpr Micros AnswerTerm = std::chrono::milliseconds(150);
+constexpr Micros AnswerWriteTime = std::chrono::milliseconds(150);
 
 /// Refusals because of doubt after which a request that may run only once takes
 /// the next endpoint whose standing is good.
@@ -129,14 +129,14 @@
 
 bool Entry::isTooLateToStart(const RequestContext &context) const {
   Micros work = UsualRunFactor * context.Cost.Expected;
-  return EndsAt && now() + work + AnswerTerm >= *EndsAt;
+  return EndsAt && now() + work + AnswerWriteTime >= *EndsAt;
 }
 
 // Work that waits would be cut off in the middle if it started too late. It has
 // not run, and its caller can go elsewhere.
 void Entry::enforceShutdownDeadline(Instant end) {
   EndsAt = end;
-  bool isOver = now() + AnswerTerm >= end;
+  bool isOver = now() + AnswerWriteTime >= end;
   for (Attempt *attempt : Attempts) {
     bool isInVain =
         isOver || (attempt->isWaiting() && isTooLateToStart(*attempt->Request));
--- a/src/libfleet/entry/entryattempt.h
+++ b/src/libfleet/entry/entryattempt.h
@@ -7,7 +7,7 @@
 
 /// An entry waits this much longer than the caller for word of what became of
 /// the request.
-constexpr Micros VerdictGrace = std::chrono::milliseconds(30);
+constexpr Micros ResultGrace = std::chrono::milliseconds(30);
 
 /// Between tries to reach a gate that owes word of an attempt, and between
 /// looks for a gate that can take a request.
@@ -55,7 +55,7 @@
   /// Asks a gate what became of the attempt.
   wire::Revoke makeRevoke(std::size_t target) const;
 
-  Instant waitUntil() const { return Request->Deadline + VerdictGrace; }
+  Instant waitUntil() const { return Request->Deadline + ResultGrace; }
 };
 
 } // namespace hickoryglade::fleet
