--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -27,7 +27,7 @@
 
 /// Part of its target latency that a class of requests is taken to need until
 /// one has been seen: operators set targets to a few times the usual run time.
-constexpr int UnseenCostPart = 3;
+constexpr int UnknownCostDivisor = 3;
 
 /// How long a gate's word on its endpoint's standing counts: a doubtful
 /// endpoint rests for about as long.
@@ -175,7 +175,7 @@
   context.Cost = Costs.estimate(context.Class, policy.LongAfter);
   bool isUnseen = context.Cost.Expected == Micros{0};
   if (isUnseen && policy.TargetLatency < policy.Timeout)
-    context.Cost.Expected = policy.TargetLatency / UnseenCostPart;
+    context.Cost.Expected = policy.TargetLatency / UnknownCostDivisor;
   context.IsIdempotent = policy.isIdempotent(request.Method);
   context.IdempotencyKey = headerValue(request.Headers, "Idempotency-Key");
   if (context.IdempotencyKey.size() > MostKeyBytes)
