--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -27,7 +27,7 @@
 /// Most requests end within this many times their expected time.
 constexpr int UsualRunFactor = 2;
 
-Error nodeEnds(RunState run) {
+Error shutdownError(RunState run) {
   return {ErrorKind::ShuttingDown, run, "the node ends", DefaultRetryAfter};
 }
 
@@ -196,7 +196,7 @@
     if (std::holds_alternative<CancelledEvent>(event->Content))
       co_return Error{ErrorKind::Cancelled, RunState::NotRun, {}, {}};
     if (std::holds_alternative<StoppedEvent>(event->Content))
-      co_return nodeEnds(RunState::NotRun);
+      co_return shutdownError(RunState::NotRun);
     if (std::holds_alternative<GrantEvent>(event->Content)) {
       attempt.IsGranted = true;
       for (std::size_t i = 0; i < attempt.Targets.size(); ++i)
@@ -232,7 +232,7 @@
     if (std::holds_alternative<CancelledEvent>(event->Content))
       co_return makeError(ErrorKind::Cancelled);
     if (std::holds_alternative<StoppedEvent>(event->Content))
-      co_return nodeEnds(RunState::Unknown);
+      co_return shutdownError(RunState::Unknown);
     if (event->Tag != target)
       continue;
     if (auto *answer = std::get_if<AnswerEvent>(&event->Content)) {
@@ -309,7 +309,7 @@
   if (std::holds_alternative<CancelledEvent>(event.Content))
     return makeError(ErrorKind::Cancelled);
   if (std::holds_alternative<StoppedEvent>(event.Content))
-    return nodeEnds(RunState::Unknown);
+    return shutdownError(RunState::Unknown);
   return std::nullopt;
 }
 
