--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -36,7 +36,7 @@
 /// Between tries of a request that a stopping node still has to place.
 constexpr Micros DrainRetryPause = std::chrono::milliseconds(100);
 
-constexpr std::size_t MostKeyBytes = 255;
+constexpr std::size_t MaxKeyBytes = 255;
 constexpr Millis LongestTimeout = std::chrono::hours(24);
 
 std::optional<Millis> parseTimeout(const std::string &text) {
@@ -178,7 +178,7 @@
     context.Cost.Expected = policy.TargetLatency / UnknownCostDivisor;
   context.IsIdempotent = policy.isIdempotent(request.Method);
   context.IdempotencyKey = headerValue(request.Headers, "Idempotency-Key");
-  if (context.IdempotencyKey.size() > MostKeyBytes)
+  if (context.IdempotencyKey.size() > MaxKeyBytes)
     return makeError(ErrorKind::BadRequest, "Idempotency-Key is too long");
   dropNodeHeaders(Dialect, request.Headers);
   if (!Dialect.CallerServiceHeader.empty())
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -22,7 +22,7 @@
 
 /// Refusals because of doubt after which a request that may run only once takes
 /// the next endpoint whose standing is good.
-constexpr int MostDoubtRefusals = 4;
+constexpr int MaxDoubtRefusals = 4;
 
 /// Most requests end within this many times their expected time.
 constexpr int UsualRunFactor = 2;
@@ -81,7 +81,7 @@
   ticket.awaitsClaim = attempt.AwaitsGrant;
   ticket.isRepeat = context.Arrivals > 0;
   ticket.acceptsDoubtful = it.Gate.State != Standing::Healthy;
-  ticket.acceptsSilent = context.DoubtRefusals >= MostDoubtRefusals;
+  ticket.acceptsSilent = context.DoubtRefusals >= MaxDoubtRefusals;
   if (attempt.IsWaitBounded)
     ticket.maxWaitMs = context.MatchedRoute.Policy.NearWait.count();
   ticket.isLastTry =
--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -26,8 +26,8 @@
 constexpr Micros IdleLimit = std::chrono::seconds(15);
 constexpr Micros IdleLimitNonIdempotent = std::chrono::seconds(1);
 
-constexpr std::size_t MostIdle = 16;
-constexpr std::uint64_t MostAnswerBytes = 64 * 1024 * 1024;
+constexpr std::size_t MaxIdleConnections = 16;
+constexpr std::uint64_t MaxResponseBytes = 64 * 1024 * 1024;
 
 EndpointResult failed(AttemptOutcome outcome, ErrorKind kind, RunState run,
                       std::string detail) {
@@ -128,7 +128,7 @@
   connection->IdleSince = now();
   std::list<ConnectionPtr> &idle = Idle[address];
   idle.push_back(std::move(connection));
-  if (idle.size() > MostIdle)
+  if (idle.size() > MaxIdleConnections)
     idle.pop_front();
 }
 
@@ -200,7 +200,7 @@
   bool isInOrder = true;
   while (true) {
     http::response_parser<http::string_body> parser;
-    parser.body_limit(MostAnswerBytes);
+    parser.body_limit(MaxResponseBytes);
     parser.skip(isHead);
     error_code ec;
     co_await http::async_read_header(
--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -17,7 +17,7 @@
 
 /// Finished answers are kept for callers whose link broke meanwhile.
 constexpr Micros ResultTerm = std::chrono::seconds(10);
-constexpr std::size_t MostResultBytes = 8 * 1024 * 1024;
+constexpr std::size_t MaxResultBytes = 8 * 1024 * 1024;
 
 /// A frame that spent longer than this in a link is late; the rest of its
 /// time allowance shrinks by the delay.
@@ -385,7 +385,7 @@
   ResultBytes += sizeOf(*result);
   Results.push_back({exchange->Request.AttemptId, std::move(result),
                      exchange->Endpoint, now()});
-  while (ResultBytes > MostResultBytes) {
+  while (ResultBytes > MaxResultBytes) {
     ResultBytes -= sizeOf(*Results.front().Result);
     Results.pop_front();
   }
--- a/src/libfleet/http/httpcaller.cpp
+++ b/src/libfleet/http/httpcaller.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Millis ConnectLimit = std::chrono::seconds(1);
-constexpr std::uint64_t MostReplyBytes = 64 * 1024 * 1024;
+constexpr std::uint64_t MaxResponseBytes = 64 * 1024 * 1024;
 
 /// A peer that does not answer keep-alive probes for about 3 s has gone
 /// silent: long polls would notice only at their end.
@@ -89,7 +89,7 @@
   co_await http::async_write(Current->Stream, request,
                              asio::redirect_error(asio::use_awaitable, ec));
   http::response_parser<http::string_body> parser;
-  parser.body_limit(MostReplyBytes);
+  parser.body_limit(MaxResponseBytes);
   if (!ec)
     co_await http::async_read(Current->Stream, Current->Buffer, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
--- a/src/libfleet/http/httpfront.cpp
+++ b/src/libfleet/http/httpfront.cpp
@@ -26,7 +26,7 @@
 
 /// What is read of a request that has been refused.
 constexpr auto DiscardLimit = std::chrono::seconds(2);
-constexpr std::size_t MostDiscarded = 64 * 1024 * 1024;
+constexpr std::size_t MaxDiscardedBytes = 64 * 1024 * 1024;
 
 /// Time in which the request that a connection was opened for has come.
 constexpr Micros FreshTerm = std::chrono::milliseconds(200);
@@ -187,7 +187,7 @@
   session->Stream.socket().shutdown(tcp::socket::shutdown_send, ec);
   session->Stream.expires_after(DiscardLimit);
   std::size_t bytes = 0;
-  while (!ec && bytes < MostDiscarded) {
+  while (!ec && bytes < MaxDiscardedBytes) {
     session->Buffer.clear();
     bytes += co_await session->Stream.async_read_some(
         session->Buffer.prepare(ReadBytes),
--- a/src/libfleet/peers/framecodec.cpp
+++ b/src/libfleet/peers/framecodec.cpp
@@ -30,7 +30,7 @@
       reinterpret_cast<std::uint8_t *>(const_cast<char *>(bytes.data()));
   auto buf = std::make_shared<TMemoryBuffer>(data, std::uint32_t(bytes.size()),
                                              TMemoryBuffer::OBSERVE);
-  Protocol protocol(buf, MostFrameBytes, MostFrameBytes);
+  Protocol protocol(buf, MaxFrameBytes, MaxFrameBytes);
   try {
     Message message;
     message.read(&protocol);
--- a/src/libfleet/peers/framecodec.h
+++ b/src/libfleet/peers/framecodec.h
@@ -12,7 +12,7 @@
 namespace hickoryglade::fleet {
 
 /// Greatest length of a frame on a link, without its length prefix.
-constexpr std::size_t MostFrameBytes = 1024 * 1024;
+constexpr std::size_t MaxFrameBytes = 1024 * 1024;
 constexpr std::size_t FramePrefixBytes = 4;
 
 /// Frame with its length prefix, ready to be sent.
--- a/src/libfleet/peers/link.cpp
+++ b/src/libfleet/peers/link.cpp
@@ -22,10 +22,10 @@
 constexpr Micros SilenceLimit = std::chrono::milliseconds(400);
 
 constexpr std::size_t ChunkBytes = 64 * 1024;
-constexpr std::size_t MostGatherBytes = 256 * 1024;
+constexpr std::size_t MaxWriteBytes = 256 * 1024;
 
 /// A peer that does not read is cut off before it fills the memory.
-constexpr std::size_t MostQueuedFrames = 100'000;
+constexpr std::size_t MaxQueuedFrames = 100'000;
 
 TrafficCause causeOf(const wire::Frame &frame) {
   const auto &has = frame.__isset;
@@ -95,7 +95,7 @@
 void Link::send(wire::Frame frame) {
   if (!Open)
     return;
-  if (Urgent.size() >= MostQueuedFrames)
+  if (Urgent.size() >= MaxQueuedFrames)
     return close("the peer does not read");
   Urgent.push_back(encodeFrame(frame));
   Traffic.note(causeOf(frame), isFar(), Urgent.back().size());
@@ -119,11 +119,11 @@
 /// Urgent frames first, then one piece of the body whose turn it is.
 bool Link::gather() {
   Writing.clear();
-  while (!Urgent.empty() && Writing.size() < MostGatherBytes) {
+  while (!Urgent.empty() && Writing.size() < MaxWriteBytes) {
     Writing += Urgent.front();
     Urgent.pop_front();
   }
-  if (Writing.size() >= MostGatherBytes || Bodies.empty())
+  if (Writing.size() >= MaxWriteBytes || Bodies.empty())
     return !Writing.empty();
   Outgoing it = std::move(Bodies.front());
   Bodies.pop_front();
@@ -164,7 +164,7 @@
           return self->close("read failed");
         std::size_t length = prefixedLength(
             std::string_view(self->Prefix.data(), self->Prefix.size()));
-        if (length == 0 || length > MostFrameBytes)
+        if (length == 0 || length > MaxFrameBytes)
           return self->close("frame length out of range");
         self->readContent(length);
       });
--- a/src/libfleet/peers/peerlinks.cpp
+++ b/src/libfleet/peers/peerlinks.cpp
@@ -17,7 +17,7 @@
 
 /// A lost path is left alone this long, doubling with further losses.
 constexpr Micros FirstDown = std::chrono::milliseconds(250);
-constexpr int MostDoublings = 3;
+constexpr int MaxDoublings = 3;
 
 } // namespace
 
@@ -122,7 +122,7 @@
 
 void PeerLinks::noteDown(const std::string &node) {
   Peer &peer = Peers[node];
-  Micros pause = FirstDown * (1 << std::min(peer.Losses, MostDoublings));
+  Micros pause = FirstDown * (1 << std::min(peer.Losses, MaxDoublings));
   ++peer.Losses;
   peer.DownUntil = now() + pause;
 }
--- a/src/libfleet/peers/wireconvert.cpp
+++ b/src/libfleet/peers/wireconvert.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int ProtocolVersion = 1;
-constexpr std::size_t MostSnapshotVerdicts = 256;
+constexpr std::size_t MaxSnapshotVerdicts = 256;
 
 template <typename Enum> std::optional<Enum> toEnum(int value, Enum last) {
   if (value < 0 || value > int(last))
@@ -171,7 +171,7 @@
     }
     out.entries.push_back(std::move(entry));
   }
-  std::size_t n = std::min(state.VerdictOrder.size(), MostSnapshotVerdicts);
+  std::size_t n = std::min(state.VerdictOrder.size(), MaxSnapshotVerdicts);
   for (auto it = state.VerdictOrder.end() - long(n);
        it != state.VerdictOrder.end(); ++it) {
     const ChangeVerdict &verdict = state.Verdicts.at(*it);
