--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -60,7 +60,7 @@
 /// An endpoint's report of a failure is worth another try where that is safe.
 bool isFinalAnswer(const EntryResult &result, bool isIdempotent) {
   constexpr int leastServerError = 500;
-  const auto *answer = std::get_if<HttpAnswer>(&result);
+  const auto *answer = std::get_if<HttpResponse>(&result);
   return answer && (!isIdempotent || answer->Status < leastServerError);
 }
 
@@ -83,8 +83,8 @@
   return fingerprintName(hash) + "-" + std::to_string(++Requests);
 }
 
-asio::awaitable<HttpAnswer> Entry::serve(HttpRequest request,
-                                         std::shared_ptr<CallScope> scope) {
+asio::awaitable<HttpResponse> Entry::serve(HttpRequest request,
+                                           std::shared_ptr<CallScope> scope) {
   Instant start = now();
   std::string id = nextId();
   std::string callerId = headerValue(request.Headers, Dialect.RequestIdHeader);
@@ -107,11 +107,11 @@
       result = co_await perform(context);
     timeLeft = context.Deadline - now();
   }
-  HttpAnswer answer;
+  HttpResponse answer;
   if (auto *error = std::get_if<Error>(&result))
     answer = problem(*error, id, timeLeft);
   else
-    answer = std::move(std::get<HttpAnswer>(result));
+    answer = std::move(std::get<HttpResponse>(result));
   const std::string &shownId = Dialect.IsIdFromCaller ? callerId : id;
   if (headerValue(answer.Headers, Dialect.RequestIdHeader).empty())
     answer.Headers.push_back({Dialect.RequestIdHeader, shownId});
@@ -207,15 +207,15 @@
           .first->second;
   errors.noteFresh(ErrorRetryPercent);
   int freeTries = 0;
-  std::optional<HttpAnswer> failure;
+  std::optional<HttpResponse> failure;
   for (int number = 1;; ++number) {
     EntryResult result = co_await tryOnce(context, number);
     if (isFinalAnswer(result, context.IsIdempotent))
       co_return result;
-    bool isReport = std::holds_alternative<HttpAnswer>(result);
+    bool isReport = std::holds_alternative<HttpResponse>(result);
     if (isReport && !errors.tryTake())
       co_return result;
-    if (auto *answer = std::get_if<HttpAnswer>(&result)) {
+    if (auto *answer = std::get_if<HttpResponse>(&result)) {
       failure = std::move(*answer);
       ++context.Arrivals;
       result = makeError(ErrorKind::EndpointFailed,
@@ -421,11 +421,11 @@
             {"reason", plan.Reason}});
 }
 
-HttpAnswer Entry::problem(const Error &error, const std::string &id,
-                          Micros timeLeft) {
+HttpResponse Entry::problem(const Error &error, const std::string &id,
+                            Micros timeLeft) {
   const ErrorAnswer &row = answerFor(error.Kind);
   Counters.countError(std::string(row.Name));
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.Status = statusOf(error);
   json body = {{"type", "about:blank"},   {"title", row.Title},
                {"status", answer.Status}, {"detail", error.Detail},
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -50,7 +50,7 @@
   std::shared_ptr<CallScope> Scope;
 };
 
-using EntryResult = std::variant<HttpAnswer, Error>;
+using EntryResult = std::variant<HttpResponse, Error>;
 
 /// Takes callers' requests on one traffic thread: finds the route, chooses a
 /// gate, tries again where that is safe, and answers.
@@ -72,8 +72,8 @@
   /// while there is time to. Called again and again until the end.
   void enforceShutdownDeadline(Instant end);
 
-  asio::awaitable<HttpAnswer> serve(HttpRequest request,
-                                    std::shared_ptr<CallScope> scope);
+  asio::awaitable<HttpResponse> serve(HttpRequest request,
+                                      std::shared_ptr<CallScope> scope);
 
 private:
   /// A gate's latest report and what this entry has sent it since.
@@ -115,8 +115,8 @@
   void noteLoad(const std::string &node, const std::string &service,
                 const wire::Load &load);
   Error toError(Attempt &attempt, const wire::Failure &failure) const;
-  HttpAnswer problem(const Error &error, const std::string &id,
-                     Micros timeLeft);
+  HttpResponse problem(const Error &error, const std::string &id,
+                       Micros timeLeft);
   Millis allowedTime(const HttpRequest &request, const ServicePolicy &policy,
                      std::optional<Error> &fault) const;
   void logRoute(const RequestContext &context, int number,
--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -60,8 +60,8 @@
   return out;
 }
 
-HttpAnswer fromBeast(http::response<http::string_body> &&in) {
-  HttpAnswer answer;
+HttpResponse fromBeast(http::response<http::string_body> &&in) {
+  HttpResponse answer;
   answer.Status = int(in.result_int());
   for (const auto &field : in)
     if (!isHopByHop(std::string_view(field.name_string().data(),
@@ -177,7 +177,7 @@
                    kind, RunState::Unknown, std::move(detail));
 }
 
-EndpointResult EndpointClient::judge(HttpAnswer answer) const {
+EndpointResult EndpointClient::judge(HttpResponse answer) const {
   constexpr int misdirected = 421;
   if (answer.Status == misdirected && Dialect.IsNotRun(answer))
     return failed(AttemptOutcome::Unreachable, ErrorKind::WrongGeneration,
@@ -193,8 +193,8 @@
 /// Reads answers until one belongs to the request: late ones to earlier
 /// requests may come first.
 asio::awaitable<EndpointResult>
-EndpointClient::readAnswer(ConnectionPtr connection, const EndpointCall &call,
-                           std::shared_ptr<bool> isWritten) {
+EndpointClient::readResponse(ConnectionPtr connection, const EndpointCall &call,
+                             std::shared_ptr<bool> isWritten) {
   bool isHead = call.Request.Method == "HEAD";
   std::string id = headerValue(call.Request.Headers, Dialect.RequestIdHeader);
   bool isInOrder = true;
@@ -224,13 +224,13 @@
                                              : ErrorKind::EndpointFailed,
                                      ec.message());
     bool isKept = parser.keep_alive() && isFramed && *isWritten;
-    HttpAnswer answer = fromBeast(parser.release());
-    AnswerMatch match = matchAnswer(Dialect, answer, id);
-    if (match == AnswerMatch::Stray && isKept) {
+    HttpResponse answer = fromBeast(parser.release());
+    ResponseMatch match = matchResponse(Dialect, answer, id);
+    if (match == ResponseMatch::Stray && isKept) {
       isInOrder = false;
       continue;
     }
-    if (match != AnswerMatch::Own)
+    if (match != ResponseMatch::Own)
       co_return failed(AttemptOutcome::Failed, ErrorKind::EndpointFailed,
                        RunState::Unknown, "the answer is not the endpoint's");
     if (isKept && isInOrder && connection->Buffer.size() == 0 &&
@@ -274,7 +274,7 @@
       Executor,
       writeRequest(connection, toBeast(call.Request, call.Address), isWritten),
       asio::detached);
-  EndpointResult result = co_await readAnswer(connection, call, isWritten);
+  EndpointResult result = co_await readResponse(connection, call, isWritten);
   if (handle->IsCancelled)
     co_return failed(AttemptOutcome::Cancelled, ErrorKind::Cancelled,
                      RunState::Unknown, "given up");
--- a/src/libfleet/gate/endpointclient.h
+++ b/src/libfleet/gate/endpointclient.h
@@ -16,7 +16,7 @@
 struct EndpointResult {
   AttemptOutcome Outcome = AttemptOutcome::Failed;
   /// Set for a whole answer.
-  std::optional<HttpAnswer> Answer;
+  std::optional<HttpResponse> Answer;
   /// Set otherwise.
   Error Failure;
   Micros RunTime{0};
@@ -58,10 +58,10 @@
   asio::awaitable<ConnectionPtr>
   connect(std::string address, Instant deadline,
           std::shared_ptr<ExchangeHandle> handle);
-  asio::awaitable<EndpointResult> readAnswer(ConnectionPtr connection,
-                                             const EndpointCall &call,
-                                             std::shared_ptr<bool> isWritten);
-  EndpointResult judge(HttpAnswer answer) const;
+  asio::awaitable<EndpointResult> readResponse(ConnectionPtr connection,
+                                               const EndpointCall &call,
+                                               std::shared_ptr<bool> isWritten);
+  EndpointResult judge(HttpResponse answer) const;
   asio::awaitable<bool> isListening(std::string address);
   asio::awaitable<EndpointResult>
   explainLoss(std::string address, ErrorKind kind, std::string detail);
--- a/src/libfleet/http/httpcaller.cpp
+++ b/src/libfleet/http/httpcaller.cpp
@@ -68,10 +68,9 @@
   co_return true;
 }
 
-asio::awaitable<std::optional<HttpAnswer>> HttpCaller::call(std::string method,
-                                                            std::string target,
-                                                            std::string content,
-                                                            Millis limit) {
+asio::awaitable<std::optional<HttpResponse>>
+HttpCaller::call(std::string method, std::string target, std::string content,
+                 Millis limit) {
   if (!Current) {
     bool isConnected = co_await connect();
     if (!isConnected)
@@ -97,7 +96,7 @@
     Current = nullptr;
     co_return std::nullopt;
   }
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.Status = int(parser.get().result_int());
   for (const auto &field : parser.get())
     answer.Headers.push_back(
--- a/src/libfleet/http/httpcaller.h
+++ b/src/libfleet/http/httpcaller.h
@@ -20,10 +20,10 @@
 
   /// Gives nothing if no whole answer came within the limit. The call may have
   /// taken effect all the same. The connection is not used again then.
-  asio::awaitable<std::optional<HttpAnswer>> call(std::string method,
-                                                  std::string target,
-                                                  std::string content,
-                                                  Millis limit);
+  asio::awaitable<std::optional<HttpResponse>> call(std::string method,
+                                                    std::string target,
+                                                    std::string content,
+                                                    Millis limit);
 
 private:
   struct Connection;
--- a/src/libfleet/http/httpdialect.cpp
+++ b/src/libfleet/http/httpdialect.cpp
@@ -13,7 +13,7 @@
 constexpr double MillisPerSecond = 1'000;
 constexpr int ServiceUnavailable = 503;
 
-bool isOwnNotRun(const HttpAnswer &answer) {
+bool isOwnNotRun(const HttpResponse &answer) {
   return answer.Status == ServiceUnavailable &&
          headerValue(answer.Headers, "Endpoint-Shed") == "not-run";
 }
@@ -24,7 +24,7 @@
   return dialect;
 }
 
-bool isSuccess(const HttpAnswer &answer) { return answer.Status / 100 == 2; }
+bool isSuccess(const HttpResponse &answer) { return answer.Status / 100 == 2; }
 
 } // namespace
 
@@ -33,21 +33,22 @@
   return it;
 }
 
-AnswerMatch matchAnswer(const HttpDialect &dialect, const HttpAnswer &answer,
-                        const std::string &requestId) {
+ResponseMatch matchResponse(const HttpDialect &dialect,
+                            const HttpResponse &answer,
+                            const std::string &requestId) {
   std::string id = headerValue(answer.Headers, dialect.RequestIdHeader);
   if (!id.empty() && id != requestId)
-    return AnswerMatch::Stray;
+    return ResponseMatch::Stray;
   if (!dialect.IsIdFromCaller)
-    return AnswerMatch::Own;
+    return ResponseMatch::Own;
   bool hasProof = !headerValue(answer.Headers, dialect.ProofHeader).empty();
   bool isEncoded = !headerValue(answer.Headers, "Content-Encoding").empty();
   if (id.empty() || isEncoded || (isSuccess(answer) && !hasProof))
-    return AnswerMatch::Unusable;
-  return AnswerMatch::Own;
+    return ResponseMatch::Unusable;
+  return ResponseMatch::Own;
 }
 
-bool repeatsId(const HttpDialect &dialect, const HttpAnswer &answer,
+bool repeatsId(const HttpDialect &dialect, const HttpResponse &answer,
                const std::string &requestId) {
   return headerValue(answer.Headers, dialect.RequestIdHeader) == requestId;
 }
--- a/src/libfleet/http/httpdialect.h
+++ b/src/libfleet/http/httpdialect.h
@@ -33,14 +33,14 @@
   /// True if Retry-After may hold fractions of a second.
   bool IsRetryAfterFractional = false;
   /// True for an endpoint's answer that says that it has not run the request.
-  bool (*IsNotRun)(const HttpAnswer &answer) = nullptr;
+  bool (*IsNotRun)(const HttpResponse &answer) = nullptr;
 };
 
 /// The product's own dialect, see docs/CONTRACT.md.
 const HttpDialect &ownDialect();
 
 /// Whether an answer read from an endpoint's connection belongs to a request.
-enum class AnswerMatch {
+enum class ResponseMatch {
   Own,
   /// A late answer to an earlier request.
   Stray,
@@ -48,12 +48,13 @@
   Unusable,
 };
 
-AnswerMatch matchAnswer(const HttpDialect &dialect, const HttpAnswer &answer,
-                        const std::string &requestId);
+ResponseMatch matchResponse(const HttpDialect &dialect,
+                            const HttpResponse &answer,
+                            const std::string &requestId);
 
 /// True if an answer repeats the request's id. Only then may its connection be
 /// used again: a late second copy of it could not be told from the next answer.
-bool repeatsId(const HttpDialect &dialect, const HttpAnswer &answer,
+bool repeatsId(const HttpDialect &dialect, const HttpResponse &answer,
                const std::string &requestId);
 
 /// Value of a Retry-After header.
--- a/src/libfleet/http/httpfront.cpp
+++ b/src/libfleet/http/httpfront.cpp
@@ -97,7 +97,7 @@
 }
 
 http::response<http::string_body>
-toBeast(const HttpAnswer &answer, const std::string &method, bool isKept) {
+toBeast(const HttpResponse &answer, const std::string &method, bool isKept) {
   http::response<http::string_body> out;
   out.version(11);
   out.result(unsigned(answer.Status));
@@ -149,9 +149,10 @@
       });
 }
 
-asio::awaitable<void> writeAnswer(std::shared_ptr<Session> session,
-                                  const HttpAnswer &answer, std::string method,
-                                  bool isKept, error_code &ec) {
+asio::awaitable<void> writeResponse(std::shared_ptr<Session> session,
+                                    const HttpResponse &answer,
+                                    std::string method, bool isKept,
+                                    error_code &ec) {
   auto message = toBeast(answer, method, isKept);
   http::response_serializer<http::string_body> serializer(message);
   serializer.split(method == "HEAD");
@@ -246,7 +247,7 @@
     co_await readRequest(session, parser, *limits, ec);
     if (ec) {
       if (int status = faultStatus(ec)) {
-        co_await writeAnswer(session, onFault(status), "GET", false, ec);
+        co_await writeResponse(session, onFault(status), "GET", false, ec);
         co_await discardRest(session);
       }
       break;
@@ -259,14 +260,14 @@
     session->Stream.expires_never();
     if (lane.WatchesCaller)
       watch(session, scope, isServed);
-    HttpAnswer answer = co_await lane.Handler(std::move(request), scope);
+    HttpResponse answer = co_await lane.Handler(std::move(request), scope);
     *isServed = true;
     if (scope->IsCancelled)
       break;
     if (lane.WatchesCaller)
       session->Stream.socket().cancel(ec);
     isKept = isKept && !state->IsStopping;
-    co_await writeAnswer(session, answer, method, isKept, ec);
+    co_await writeResponse(session, answer, method, isKept, ec);
     if (ec || !isKept)
       break;
   }
--- a/src/libfleet/http/httpfront.h
+++ b/src/libfleet/http/httpfront.h
@@ -17,11 +17,11 @@
 namespace hickoryglade::fleet {
 
 /// Answers one request. The scope tells when the caller has gone.
-using HttpHandler = std::function<asio::awaitable<HttpAnswer>(
+using HttpHandler = std::function<asio::awaitable<HttpResponse>(
     HttpRequest, std::shared_ptr<CallScope>)>;
 
 /// Builds the answer to bytes that are not an acceptable request.
-using HttpFaultHandler = std::function<HttpAnswer(int status)>;
+using HttpFaultHandler = std::function<HttpResponse(int status)>;
 
 /// What a front allows its callers; may change while it runs.
 struct HttpLimits {
--- a/src/libfleet/http/httpmessage.h
+++ b/src/libfleet/http/httpmessage.h
@@ -23,7 +23,7 @@
   Body Content = std::make_shared<const std::string>();
 };
 
-struct HttpAnswer {
+struct HttpResponse {
   int Status = 200;
   std::vector<HttpHeader> Headers;
   Body Content = std::make_shared<const std::string>();
--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -34,8 +34,8 @@
   return static_cast<KeyVerdict>(value);
 }
 
-HttpAnswer replay(const wire::StoredAnswer &stored) {
-  HttpAnswer answer;
+HttpResponse replay(const wire::StoredAnswer &stored) {
+  HttpResponse answer;
   answer.Status = stored.status;
   answer.Headers = fromWire(stored.headers);
   answer.Headers.push_back({"Idempotent-Replayed", "true"});
@@ -160,7 +160,7 @@
     if (error->Run == RunState::NotRun)
       request.operation = wire::KeyOperation::RELEASE;
   } else {
-    const auto &answer = std::get<HttpAnswer>(result);
+    const auto &answer = std::get<HttpResponse>(result);
     bool isKept = answer.Content->size() <= KeyTable::MostAnswerBytes;
     request.record.state = int(isKept ? KeyState::Done : KeyState::AnswerGone);
     if (isKept) {
--- a/src/libfleet/log/logclient.cpp
+++ b/src/libfleet/log/logclient.cpp
@@ -16,7 +16,7 @@
 constexpr int RecordsPerRead = 500;
 constexpr Millis DefaultRetryAfter = std::chrono::seconds(1);
 
-Millis retryAfterOf(const HttpAnswer &answer) {
+Millis retryAfterOf(const HttpResponse &answer) {
   std::string text = headerValue(answer.Headers, "Retry-After");
   int seconds = 0;
   std::from_chars(text.data(), text.data() + text.size(), seconds);
@@ -75,7 +75,7 @@
 
 asio::awaitable<AppendResult> LogClient::append(std::string data) {
   AppendResult result;
-  std::optional<HttpAnswer> reply = co_await Caller.call(
+  std::optional<HttpResponse> reply = co_await Caller.call(
       "POST", "/v1/streams/" + Stream + "/records", std::move(data), CallLimit);
   if (!reply)
     co_return result;
@@ -99,7 +99,7 @@
                        "/records?from=" + std::to_string(from) +
                        "&limit=" + std::to_string(RecordsPerRead) +
                        "&wait_ms=" + std::to_string(wait.count());
-  std::optional<HttpAnswer> reply =
+  std::optional<HttpResponse> reply =
       co_await Caller.call("GET", std::move(target), "", wait + CallLimit);
   ReadResult result;
   if (!reply)
--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -22,8 +22,8 @@
 constexpr std::string_view EndpointsPath = "/v1/endpoints";
 constexpr std::string_view SettingsPath = "/v1/settings";
 
-HttpAnswer jsonAnswer(int status, const json &body) {
-  HttpAnswer answer;
+HttpResponse jsonAnswer(int status, const json &body) {
+  HttpResponse answer;
   answer.Status = status;
   answer.Headers.push_back({"Content-Type", "application/json"});
   answer.Content = std::make_shared<const std::string>(
@@ -31,7 +31,7 @@
   return answer;
 }
 
-HttpAnswer fault(int status, const std::string &reason) {
+HttpResponse fault(int status, const std::string &reason) {
   return jsonAnswer(status, {{"error", reason}});
 }
 
@@ -110,12 +110,12 @@
   return reason.empty() ? std::optional(change) : std::nullopt;
 }
 
-HttpAnswer invalidAnswer(const std::vector<SettingsFault> &faults) {
+HttpResponse invalidAnswer(const std::vector<SettingsFault> &faults) {
   return jsonAnswer(422,
                     {{"outcome", "invalid"}, {"faults", faultsJson(faults)}});
 }
 
-HttpAnswer verdictAnswer(const std::optional<ChangeVerdict> &verdict) {
+HttpResponse verdictAnswer(const std::optional<ChangeVerdict> &verdict) {
   if (!verdict)
     return jsonAnswer(
         503, {{"outcome", "unknown"},
@@ -131,15 +131,15 @@
                              {"faults", faultsJson(verdict->Faults)}});
 }
 
-HttpAnswer announcedAnswer(const std::optional<std::int64_t> &generation) {
+HttpResponse announcedAnswer(const std::optional<std::int64_t> &generation) {
   if (!generation)
     return fault(503, "the node is leaving");
   return jsonAnswer(
       200, {{"generation", *generation}, {"heartbeat_ms", HeartbeatMs}});
 }
 
-HttpAnswer metricsAnswer(const Metrics &metrics, const NodeGauges &node) {
-  HttpAnswer answer;
+HttpResponse metricsAnswer(const Metrics &metrics, const NodeGauges &node) {
+  HttpResponse answer;
   answer.Headers.push_back({"Content-Type", "text/plain; version=0.0.4"});
   answer.Content = std::make_shared<const std::string>(metrics.text(node));
   return answer;
@@ -151,7 +151,7 @@
                        Events events)
     : Io(io), Owner(control), Counters(metrics), Handlers(std::move(events)) {}
 
-asio::awaitable<HttpAnswer> AdminFront::serve(HttpRequest request) {
+asio::awaitable<HttpResponse> AdminFront::serve(HttpRequest request) {
   const std::string &target = request.Target;
   if (Handlers.ParseMessage) {
     EndpointMessage message = Handlers.ParseMessage(request);
@@ -168,8 +168,8 @@
       asio::use_awaitable);
 }
 
-asio::awaitable<HttpAnswer> AdminFront::serveOperator(HttpRequest request,
-                                                      json endpoints) {
+asio::awaitable<HttpResponse> AdminFront::serveOperator(HttpRequest request,
+                                                        json endpoints) {
   const std::string &target = request.Target;
   bool isGet = request.Method == "GET";
   if (target == "/v1/changes" && request.Method == "POST")
@@ -183,7 +183,7 @@
   co_return fault(404, "no such resource");
 }
 
-asio::awaitable<HttpAnswer> AdminFront::serveMetrics(HttpRequest request) {
+asio::awaitable<HttpResponse> AdminFront::serveMetrics(HttpRequest request) {
   bool isAsked = request.Target == "/metrics" && request.Method == "GET";
   if (!isAsked)
     co_return fault(404, "no such resource");
@@ -198,7 +198,7 @@
   return all;
 }
 
-asio::awaitable<HttpAnswer> AdminFront::announce(const HttpRequest &request) {
+asio::awaitable<HttpResponse> AdminFront::announce(const HttpRequest &request) {
   std::string reason;
   std::optional<Announcement> facts =
       parseAnnouncement(*request.Content, reason);
@@ -209,7 +209,7 @@
   co_return announcedAnswer(generation);
 }
 
-asio::awaitable<HttpAnswer> AdminFront::takeMessage(EndpointMessage message) {
+asio::awaitable<HttpResponse> AdminFront::takeMessage(EndpointMessage message) {
   if (auto *malformed = std::get_if<MalformedAnnouncement>(&message)) {
     logEvent(LogLevel::Warn, "announcement_malformed",
              {{"reason", malformed->Reason}});
@@ -225,12 +225,12 @@
   co_return announcedAnswer(generation);
 }
 
-HttpAnswer AdminFront::withdraw(const std::string &target) {
+HttpResponse AdminFront::withdraw(const std::string &target) {
   Handlers.OnWithdraw(target.substr(EndpointsPath.size() + 1));
   return jsonAnswer(200, json::object());
 }
 
-asio::awaitable<HttpAnswer> AdminFront::change(const HttpRequest &request) {
+asio::awaitable<HttpResponse> AdminFront::change(const HttpRequest &request) {
   std::string reason;
   std::optional<SettingsChange> parsed = parseChange(*request.Content, reason);
   if (!parsed)
@@ -245,7 +245,7 @@
   co_return verdictAnswer(verdict);
 }
 
-HttpAnswer AdminFront::settings(const std::string &target) const {
+HttpResponse AdminFront::settings(const std::string &target) const {
   std::string path = target.substr(SettingsPath.size());
   if (path.empty())
     path = "/";
--- a/src/libfleet/node/adminfront.h
+++ b/src/libfleet/node/adminfront.h
@@ -38,20 +38,20 @@
   AdminFront(asio::io_context &io, Control &control, Metrics &metrics,
              Events events);
 
-  asio::awaitable<HttpAnswer> serve(HttpRequest request);
+  asio::awaitable<HttpResponse> serve(HttpRequest request);
 
   /// Takes questions for metrics only.
-  asio::awaitable<HttpAnswer> serveMetrics(HttpRequest request);
+  asio::awaitable<HttpResponse> serveMetrics(HttpRequest request);
 
 private:
-  asio::awaitable<HttpAnswer> serveOperator(HttpRequest request,
-                                            nlohmann::json endpoints);
-  asio::awaitable<HttpAnswer> announce(const HttpRequest &request);
-  asio::awaitable<HttpAnswer> takeMessage(EndpointMessage message);
-  asio::awaitable<HttpAnswer> change(const HttpRequest &request);
+  asio::awaitable<HttpResponse> serveOperator(HttpRequest request,
+                                              nlohmann::json endpoints);
+  asio::awaitable<HttpResponse> announce(const HttpRequest &request);
+  asio::awaitable<HttpResponse> takeMessage(EndpointMessage message);
+  asio::awaitable<HttpResponse> change(const HttpRequest &request);
   nlohmann::json status(nlohmann::json endpoints) const;
-  HttpAnswer withdraw(const std::string &target);
-  HttpAnswer settings(const std::string &target) const;
+  HttpResponse withdraw(const std::string &target);
+  HttpResponse settings(const std::string &target) const;
 
   asio::io_context &Io;
   Control &Owner;
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -32,13 +32,13 @@
 constexpr Millis HandOnLimit = std::chrono::seconds(2);
 constexpr Millis StopPoll = std::chrono::milliseconds(20);
 
-HttpAnswer faultAnswer(int status) {
+HttpResponse faultAnswer(int status) {
   ErrorKind kind = status == 431   ? ErrorKind::HeadersTooLarge
                    : status == 413 ? ErrorKind::BodyTooLarge
                    : status == 408 ? ErrorKind::RequestTimeout
                                    : ErrorKind::BadRequest;
   const ErrorAnswer &row = answerFor(kind);
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.Status = row.Status;
   answer.Headers.push_back({"Content-Type", "application/problem+json"});
   answer.Content = std::make_shared<const std::string>(nlohmann::json{
@@ -67,7 +67,7 @@
   bool stop();
   bool reload(const NodeSettings &settings);
   void applyView(const FleetViewPtr &view);
-  HttpAnswer readiness() const;
+  HttpResponse readiness() const;
   asio::awaitable<bool> depart(std::string endpoint);
   void connectLocal(Entry &entry, Loop &loop);
   void takeFrame(const std::shared_ptr<FrameChannel> &from, wire::Frame frame);
@@ -215,16 +215,16 @@
   std::vector<HttpFront::Lane> readyLanes{
       {gateThread,
        [this](HttpRequest, std::shared_ptr<CallScope>)
-           -> asio::awaitable<HttpAnswer> { co_return readiness(); },
+           -> asio::awaitable<HttpResponse> { co_return readiness(); },
        false}};
   ReadyHttp = std::make_unique<HttpFront>(gateThread, Facts.ReadyAddress,
                                           std::move(readyLanes), faultAnswer);
 }
 
-HttpAnswer Node::Parts::readiness() const {
+HttpResponse Node::Parts::readiness() const {
   constexpr int ok = 200;
   constexpr int unavailable = 503;
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.Status = IsReady && !IsLeaving ? ok : unavailable;
   return answer;
 }
--- a/src/libfleet/peers/gateclient.cpp
+++ b/src/libfleet/peers/gateclient.cpp
@@ -78,7 +78,7 @@
 }
 
 void GateClient::finishAnswer(std::int64_t id, Stream &stream) {
-  HttpAnswer answer{
+  HttpResponse answer{
       stream.Head->status, fromWire(stream.Head->headers),
       std::make_shared<const std::string>(std::move(stream.Content))};
   stream.Box->put(
@@ -100,7 +100,7 @@
     OnStreamCount(Streams.size());
 }
 
-wire::Frame toFrame(const HttpAnswer &answer, const std::string &endpoint,
+wire::Frame toFrame(const HttpResponse &answer, const std::string &endpoint,
                     const wire::Load &load, Micros runTime) {
   wire::Frame frame;
   frame.answer.status = answer.Status;
--- a/src/libfleet/peers/gateclient.h
+++ b/src/libfleet/peers/gateclient.h
@@ -17,7 +17,7 @@
 };
 
 struct AnswerEvent {
-  HttpAnswer Answer;
+  HttpResponse Answer;
   std::string Endpoint;
   wire::Load Load;
   /// Time that the endpoint took.
@@ -91,7 +91,7 @@
 };
 
 /// The frame that begins an answer; its body follows apart.
-wire::Frame toFrame(const HttpAnswer &answer, const std::string &endpoint,
+wire::Frame toFrame(const HttpResponse &answer, const std::string &endpoint,
                     const wire::Load &load, Micros runTime);
 
 std::vector<HttpHeader> fromWire(const std::vector<wire::Header> &headers);
--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -273,26 +273,27 @@
 TEST_CASE("an answer belongs to a request by its id and proof") {
   fleet::HttpDialect dialect = makeDialect();
   auto answer = [](int status, std::vector<fleet::HttpHeader> headers) {
-    return fleet::HttpAnswer{status, std::move(headers),
-                             std::make_shared<const std::string>()};
+    return fleet::HttpResponse{status, std::move(headers),
+                               std::make_shared<const std::string>()};
   };
-  auto match = [&](const fleet::HttpAnswer &it) {
-    return matchAnswer(dialect, it, "1");
+  auto match = [&](const fleet::HttpResponse &it) {
+    return matchResponse(dialect, it, "1");
   };
-  using fleet::AnswerMatch;
-  CHECK(match(answer(200, {{"Attempt-Id", "1"},
-                           {"Response-Signature", "s"}})) == AnswerMatch::Own);
+  using fleet::ResponseMatch;
+  CHECK(
+      match(answer(200, {{"Attempt-Id", "1"}, {"Response-Signature", "s"}})) ==
+      ResponseMatch::Own);
   CHECK(
       match(answer(200, {{"Attempt-Id", "2"}, {"Response-Signature", "s"}})) ==
-      AnswerMatch::Stray);
-  CHECK(match(answer(200, {{"Attempt-Id", "1"}})) == AnswerMatch::Unusable);
+      ResponseMatch::Stray);
+  CHECK(match(answer(200, {{"Attempt-Id", "1"}})) == ResponseMatch::Unusable);
   CHECK(match(answer(200, {{"Response-Signature", "s"}})) ==
-        AnswerMatch::Unusable);
+        ResponseMatch::Unusable);
   CHECK(match(answer(200, {{"Attempt-Id", "1"},
                            {"Response-Signature", "s"},
                            {"Content-Encoding", "gzip"}})) ==
-        AnswerMatch::Unusable);
-  CHECK(match(answer(500, {{"Attempt-Id", "1"}})) == AnswerMatch::Own);
+        ResponseMatch::Unusable);
+  CHECK(match(answer(500, {{"Attempt-Id", "1"}})) == ResponseMatch::Own);
   CHECK(dialect.IsNotRun(answer(503, {{"Not-Executed", "1"}})));
   CHECK(dialect.IsNotRun(answer(421, {})));
   CHECK_FALSE(dialect.IsNotRun(answer(503, {})));
