--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -226,7 +226,7 @@
     bool isKept = parser.keep_alive() && isFramed && *isWritten;
     HttpResponse answer = fromBeast(parser.release());
     ResponseMatch match = matchResponse(Dialect, answer, id);
-    if (match == ResponseMatch::Stray && isKept) {
+    if (match == ResponseMatch::Late && isKept) {
       isInOrder = false;
       continue;
     }
--- a/src/libfleet/http/httpdialect.cpp
+++ b/src/libfleet/http/httpdialect.cpp
@@ -38,7 +38,7 @@
                             const std::string &requestId) {
   std::string id = headerValue(answer.Headers, dialect.RequestIdHeader);
   if (!id.empty() && id != requestId)
-    return ResponseMatch::Stray;
+    return ResponseMatch::Late;
   if (!dialect.IsIdFromCaller)
     return ResponseMatch::Own;
   bool hasProof = !headerValue(answer.Headers, dialect.ProofHeader).empty();
--- a/src/libfleet/http/httpdialect.h
+++ b/src/libfleet/http/httpdialect.h
@@ -43,7 +43,7 @@
 enum class ResponseMatch {
   Own,
   /// A late answer to an earlier request.
-  Stray,
+  Late,
   /// Not what a sound endpoint would say.
   Unusable,
 };
--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -285,7 +285,7 @@
       ResponseMatch::Own);
   CHECK(
       match(answer(200, {{"Attempt-Id", "2"}, {"Response-Signature", "s"}})) ==
-      ResponseMatch::Stray);
+      ResponseMatch::Late);
   CHECK(match(answer(200, {{"Attempt-Id", "1"}})) == ResponseMatch::Unusable);
   CHECK(match(answer(200, {{"Response-Signature", "s"}})) ==
         ResponseMatch::Unusable);
