--- a/src/libfleet/http/httpcaller.cpp
+++ b/src/libfleet/http/httpcaller.cpp
@@ -38,19 +38,19 @@
 
 } // namespace
 
-struct HttpCaller::Connection {
+struct HttpClient::Connection {
   explicit Connection(const asio::any_io_executor &ex) : Stream(ex) {}
 
   beast::tcp_stream Stream;
   beast::flat_buffer Buffer;
 };
 
-HttpCaller::HttpCaller(asio::any_io_executor ex, std::string address)
+HttpClient::HttpClient(asio::any_io_executor ex, std::string address)
     : Executor(std::move(ex)), Address(std::move(address)) {}
 
-HttpCaller::~HttpCaller() = default;
+HttpClient::~HttpClient() = default;
 
-asio::awaitable<bool> HttpCaller::connect() {
+asio::awaitable<bool> HttpClient::connect() {
   std::optional<fleet::Address> parsed = parseAddress(Address);
   if (!parsed)
     co_return false;
@@ -69,7 +69,7 @@
 }
 
 asio::awaitable<std::optional<HttpResponse>>
-HttpCaller::call(std::string method, std::string target, std::string content,
+HttpClient::call(std::string method, std::string target, std::string content,
                  Millis limit) {
   if (!Current) {
     bool isConnected = co_await connect();
--- a/src/libfleet/http/httpcaller.h
+++ b/src/libfleet/http/httpcaller.h
@@ -11,10 +11,10 @@
 namespace hickoryglade::fleet {
 
 /// Calls one HTTP server over a kept connection, one call at a time.
-class HttpCaller {
+class HttpClient {
 public:
-  HttpCaller(asio::any_io_executor ex, std::string address);
-  ~HttpCaller();
+  HttpClient(asio::any_io_executor ex, std::string address);
+  ~HttpClient();
 
   const std::string &address() const { return Address; }
 
--- a/src/libfleet/log/logclient.h
+++ b/src/libfleet/log/logclient.h
@@ -57,7 +57,7 @@
   asio::awaitable<ReadResult> read(std::int64_t from, Millis wait);
 
 private:
-  HttpCaller Caller;
+  HttpClient Caller;
   std::string Stream;
 };
 
