--- a/src/libfleet/http/httpfront.cpp
+++ b/src/libfleet/http/httpfront.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-struct FrontState {
+struct ServerState {
   std::atomic<bool> IsStopping = false;
   /// Requests from their first byte to the last of their answer.
   std::atomic<int> Busy = 0;
@@ -53,7 +53,8 @@
 /// Lists a connection as idle for as long as it lives.
 class IdleGuard {
 public:
-  IdleGuard(std::shared_ptr<FrontState> state, std::shared_ptr<Session> session)
+  IdleGuard(std::shared_ptr<ServerState> state,
+            std::shared_ptr<Session> session)
       : State(std::move(state)), Caller(std::move(session)) {
     std::lock_guard lock(State->Lock);
     State->Idle.insert(Caller);
@@ -66,14 +67,14 @@
   IdleGuard &operator=(const IdleGuard &) = delete;
 
 private:
-  std::shared_ptr<FrontState> State;
+  std::shared_ptr<ServerState> State;
   std::shared_ptr<Session> Caller;
 };
 
 /// Counts a request for as long as it lives.
 class BusyGuard {
 public:
-  explicit BusyGuard(std::shared_ptr<FrontState> state)
+  explicit BusyGuard(std::shared_ptr<ServerState> state)
       : State(std::move(state)) {
     ++State->Busy;
   }
@@ -82,7 +83,7 @@
   BusyGuard &operator=(const BusyGuard &) = delete;
 
 private:
-  std::shared_ptr<FrontState> State;
+  std::shared_ptr<ServerState> State;
 };
 
 HttpRequest fromBeast(http::request<http::string_body> &&in) {
@@ -228,8 +229,8 @@
 }
 
 asio::awaitable<void> serve(std::shared_ptr<Session> session,
-                            HttpFront::Lane lane, HttpFaultHandler onFault,
-                            std::shared_ptr<FrontState> state,
+                            HttpServer::Worker lane, HttpFaultHandler onFault,
+                            std::shared_ptr<ServerState> state,
                             std::shared_ptr<HttpLimits> limits) {
   error_code ec;
   session->Stream.socket().set_option(tcp::no_delay(true), ec);
@@ -277,23 +278,23 @@
 
 } // namespace
 
-HttpFront::HttpFront(asio::any_io_executor ex, std::string address,
-                     std::vector<Lane> lanes, HttpFaultHandler onFault)
+HttpServer::HttpServer(asio::any_io_executor ex, std::string address,
+                       std::vector<Lane> lanes, HttpFaultHandler onFault)
     : Executor(ex), Address(std::move(address)), Acceptor(ex),
       Lanes(std::move(lanes)), OnFault(std::move(onFault)),
-      State(std::make_shared<FrontState>()) {}
+      State(std::make_shared<ServerState>()) {}
 
-absl::Status HttpFront::listen() { return takeAddress(Acceptor, Address); }
+absl::Status HttpServer::listen() { return takeAddress(Acceptor, Address); }
 
-void HttpFront::start() {
+void HttpServer::start() {
   error_code ec;
   Acceptor.listen(asio::socket_base::max_listen_connections, ec);
   accept();
 }
 
-void HttpFront::beginDrain() { State->IsStopping = true; }
+void HttpServer::beginDrain() { State->IsStopping = true; }
 
-void HttpFront::stop() {
+void HttpServer::stop() {
   State->IsStopping = true;
   error_code ec;
   // Closing would reset those that wait to be accepted.
@@ -313,11 +314,11 @@
     asio::post(it->Stream.get_executor(), [it] { it->Stream.cancel(); });
 }
 
-bool HttpFront::isBusy() const {
+bool HttpServer::isBusy() const {
   return State->Busy > 0 || now() - AcceptedAt < FreshTerm;
 }
 
-void HttpFront::serveNext(Lane &lane, tcp::socket socket) {
+void HttpServer::serveNext(Lane &lane, tcp::socket socket) {
   AcceptedAt = now();
   auto session = std::make_shared<Session>(
       Session{beast::tcp_stream(std::move(socket)), {}});
@@ -325,7 +326,7 @@
                  asio::detached);
 }
 
-void HttpFront::accept() {
+void HttpServer::accept() {
   Lane &lane = Lanes[NextLane++ % Lanes.size()];
   Acceptor.async_accept(
       lane.Executor, [this, &lane](const error_code &ec, tcp::socket socket) {
--- a/src/libfleet/http/httpfront.h
+++ b/src/libfleet/http/httpfront.h
@@ -31,11 +31,11 @@
   std::atomic<std::int64_t> IdleTimeoutMs = 60'000;
 };
 
-struct FrontState;
+struct ServerState;
 
 /// Accepts HTTP/1.1 connections and shares them out between executors. Each
 /// executor must be run by one thread.
-class HttpFront {
+class HttpServer {
 public:
   struct Lane {
     asio::any_io_executor Executor;
@@ -44,8 +44,8 @@
     bool WatchesCaller = true;
   };
 
-  HttpFront(asio::any_io_executor ex, std::string address,
-            std::vector<Lane> lanes, HttpFaultHandler onFault);
+  HttpServer(asio::any_io_executor ex, std::string address,
+             std::vector<Lane> lanes, HttpFaultHandler onFault);
 
   HttpLimits &limits() { return *Limits; }
 
@@ -78,7 +78,7 @@
   void serveNext(Lane &lane, tcp::socket socket);
 
   /// What the front shares with its connections.
-  std::shared_ptr<FrontState> State;
+  std::shared_ptr<ServerState> State;
   Instant AcceptedAt;
   std::shared_ptr<HttpLimits> Limits = std::make_shared<HttpLimits>();
   std::size_t NextLane = 0;
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -90,11 +90,11 @@
   std::unique_ptr<RevokeRelay> Relay;
   std::map<std::string, Instant> Ejected;
   std::unique_ptr<LinkServer> Server;
-  std::unique_ptr<HttpFront> Callers;
+  std::unique_ptr<HttpServer> Callers;
   std::unique_ptr<AdminFront> Admin;
-  std::unique_ptr<HttpFront> AdminHttp;
-  std::unique_ptr<HttpFront> ReadyHttp;
-  std::unique_ptr<HttpFront> MetricsHttp;
+  std::unique_ptr<HttpServer> AdminHttp;
+  std::unique_ptr<HttpServer> ReadyHttp;
+  std::unique_ptr<HttpServer> MetricsHttp;
   const PlatformAdapter *Platform = nullptr;
   HttpDialect Dialect = ownDialect();
   std::atomic<bool> IsReady = false;
@@ -154,7 +154,7 @@
   Gate = std::make_unique<GateService>(gateThread, Facts, BootId, Dialect,
                                        Counters, std::move(gateEvents));
 
-  std::vector<HttpFront::Lane> lanes;
+  std::vector<HttpServer::Worker> lanes;
   for (std::size_t i = 0; i < Traffic.size(); ++i) {
     Entries.push_back(std::make_unique<Entry>(
         Traffic[i]->Io.get_executor(), Facts, BootId, i, Dialect, Counters));
@@ -175,8 +175,8 @@
       [this](const std::shared_ptr<FrameChannel> &from, wire::Frame frame) {
         takeFrame(from, std::move(frame));
       });
-  Callers = std::make_unique<HttpFront>(gateThread, Facts.HttpAddress,
-                                        std::move(lanes), faultAnswer);
+  Callers = std::make_unique<HttpServer>(gateThread, Facts.HttpAddress,
+                                         std::move(lanes), faultAnswer);
   AdminFront::Events adminEvents;
   adminEvents.OnAnnounce = [this](Announcement facts) {
     return announce(std::move(facts));
@@ -192,18 +192,18 @@
     adminEvents.ParseMessage = Platform->ParseEndpointMessage;
   Admin = std::make_unique<AdminFront>(control, *Brain, Counters,
                                        std::move(adminEvents));
-  std::vector<HttpFront::Lane> adminLanes{
+  std::vector<HttpServer::Worker> adminLanes{
       {gateThread,
        [this](HttpRequest request, std::shared_ptr<CallScope>) {
          return Admin->serve(std::move(request));
        },
        false}};
-  AdminHttp = std::make_unique<HttpFront>(gateThread, Facts.AdminAddress,
-                                          std::move(adminLanes), faultAnswer);
+  AdminHttp = std::make_unique<HttpServer>(gateThread, Facts.AdminAddress,
+                                           std::move(adminLanes), faultAnswer);
   if (!Facts.MetricsAddress.empty())
-    MetricsHttp = std::make_unique<HttpFront>(
+    MetricsHttp = std::make_unique<HttpServer>(
         gateThread, Facts.MetricsAddress,
-        std::vector<HttpFront::Lane>{
+        std::vector<HttpServer::Worker>{
             {gateThread,
              [this](HttpRequest request, std::shared_ptr<CallScope>) {
                return Admin->serveMetrics(std::move(request));
@@ -212,13 +212,13 @@
         faultAnswer);
   if (Facts.ReadyAddress.empty())
     return;
-  std::vector<HttpFront::Lane> readyLanes{
+  std::vector<HttpServer::Worker> readyLanes{
       {gateThread,
        [this](HttpRequest, std::shared_ptr<CallScope>)
            -> asio::awaitable<HttpResponse> { co_return readiness(); },
        false}};
-  ReadyHttp = std::make_unique<HttpFront>(gateThread, Facts.ReadyAddress,
-                                          std::move(readyLanes), faultAnswer);
+  ReadyHttp = std::make_unique<HttpServer>(gateThread, Facts.ReadyAddress,
+                                           std::move(readyLanes), faultAnswer);
 }
 
 HttpResponse Node::Parts::readiness() const {
