--- a/src/libfleet/http/httpdialect.cpp
+++ b/src/libfleet/http/httpdialect.cpp
@@ -13,14 +13,14 @@
 constexpr double MillisPerSecond = 1'000;
 constexpr int ServiceUnavailable = 503;
 
-bool isOwnNotRun(const HttpResponse &answer) {
+bool isDefaultNotRun(const HttpResponse &answer) {
   return answer.Status == ServiceUnavailable &&
          headerValue(answer.Headers, "Endpoint-Shed") == "not-run";
 }
 
-HttpDialect makeOwnDialect() {
+HttpDialect makeDefaultDialect() {
   HttpDialect dialect;
-  dialect.IsNotRun = isOwnNotRun;
+  dialect.IsNotRun = isDefaultNotRun;
   return dialect;
 }
 
@@ -28,8 +28,8 @@
 
 } // namespace
 
-const HttpDialect &ownDialect() {
-  static const HttpDialect it = makeOwnDialect();
+const HttpDialect &defaultDialect() {
+  static const HttpDialect it = makeDefaultDialect();
   return it;
 }
 
--- a/src/libfleet/http/httpdialect.h
+++ b/src/libfleet/http/httpdialect.h
@@ -37,7 +37,7 @@
 };
 
 /// The product's own dialect, see docs/CONTRACT.md.
-const HttpDialect &ownDialect();
+const HttpDialect &defaultDialect();
 
 /// Whether an answer read from an endpoint's connection belongs to a request.
 enum class ResponseMatch {
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -96,7 +96,7 @@
   std::unique_ptr<HttpServer> ReadyHttp;
   std::unique_ptr<HttpServer> MetricsHttp;
   const PlatformAdapter *Platform = nullptr;
-  HttpDialect Dialect = ownDialect();
+  HttpDialect Dialect = defaultDialect();
   std::atomic<bool> IsReady = false;
   std::atomic<bool> IsLeaving = false;
 };
--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -298,7 +298,7 @@
   CHECK(dialect.IsNotRun(answer(421, {})));
   CHECK_FALSE(dialect.IsNotRun(answer(503, {})));
   CHECK(formatRetryAfter(dialect, Millis(1'050)) == "1.050");
-  CHECK(formatRetryAfter(fleet::ownDialect(), Millis(1'050)) == "2");
+  CHECK(formatRetryAfter(fleet::defaultDialect(), Millis(1'050)) == "2");
 }
 
 TEST_CASE("parsers survive spoiled bytes") {
