--- a/src/libfleet/http/httpcaller.cpp
+++ b/src/libfleet/http/httpcaller.cpp
@@ -23,7 +23,7 @@
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbes = 2;
 
-void probeWhileIdle(tcp::socket &socket) {
+void enableKeepAlive(tcp::socket &socket) {
   using Idle = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
   using Interval =
       asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
@@ -64,7 +64,7 @@
     Current = nullptr;
     co_return false;
   }
-  probeWhileIdle(Current->Stream.socket());
+  enableKeepAlive(Current->Stream.socket());
   co_return true;
 }
 
--- a/src/libfleet/http/httpfront.cpp
+++ b/src/libfleet/http/httpfront.cpp
@@ -29,7 +29,7 @@
 constexpr std::size_t MaxDiscardedBytes = 64 * 1024 * 1024;
 
 /// Time in which the request that a connection was opened for has come.
-constexpr Micros FreshTerm = std::chrono::milliseconds(200);
+constexpr Micros NewConnectionGrace = std::chrono::milliseconds(200);
 
 /// One caller's connection.
 struct Session {
@@ -133,9 +133,9 @@
 }
 
 /// Watches for the caller's leaving while its request is served.
-void watch(const std::shared_ptr<Session> &session,
-           const std::shared_ptr<CallScope> &scope,
-           const std::shared_ptr<bool> &isServed) {
+void watchForDisconnect(const std::shared_ptr<Session> &session,
+                        const std::shared_ptr<CallScope> &scope,
+                        const std::shared_ptr<bool> &isServed) {
   session->Stream.socket().async_wait(
       tcp::socket::wait_read, [session, scope, isServed](const error_code &ec) {
         if (ec || *isServed)
@@ -260,7 +260,7 @@
     auto isServed = std::make_shared<bool>(false);
     session->Stream.expires_never();
     if (lane.WatchesCaller)
-      watch(session, scope, isServed);
+      watchForDisconnect(session, scope, isServed);
     HttpResponse answer = co_await lane.Handler(std::move(request), scope);
     *isServed = true;
     if (scope->IsCancelled)
@@ -315,7 +315,7 @@
 }
 
 bool HttpServer::isBusy() const {
-  return State->Busy > 0 || now() - AcceptedAt < FreshTerm;
+  return State->Busy > 0 || now() - AcceptedAt < NewConnectionGrace;
 }
 
 void HttpServer::serveNext(Lane &lane, tcp::socket socket) {
