--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -164,8 +164,8 @@
 /// A connection that broke may mean that the endpoint's process is gone; it
 /// is if nothing listens at its address.
 asio::awaitable<EndpointResult>
-EndpointClient::explainLoss(std::string address, ErrorKind kind,
-                            std::string detail) {
+EndpointClient::classifyLoss(std::string address, ErrorKind kind,
+                             std::string detail) {
   forget(address);
   bool isAlive = co_await isListening(address);
   if (isAlive) {
@@ -177,7 +177,7 @@
                    kind, RunState::Unknown, std::move(detail));
 }
 
-EndpointResult EndpointClient::judge(HttpResponse answer) const {
+EndpointResult EndpointClient::classifyResponse(HttpResponse answer) const {
   constexpr int misdirected = 421;
   if (answer.Status == misdirected && Dialect.IsNotRun(answer))
     return failed(AttemptOutcome::Unreachable, ErrorKind::WrongGeneration,
@@ -219,10 +219,10 @@
                        RunState::Unknown,
                        "the endpoint did not answer in time");
     if (ec)
-      co_return co_await explainLoss(call.Address,
-                                     hasHead ? ErrorKind::AnswerTruncated
-                                             : ErrorKind::EndpointFailed,
-                                     ec.message());
+      co_return co_await classifyLoss(call.Address,
+                                      hasHead ? ErrorKind::AnswerTruncated
+                                              : ErrorKind::EndpointFailed,
+                                      ec.message());
     bool isKept = parser.keep_alive() && isFramed && *isWritten;
     HttpResponse answer = fromBeast(parser.release());
     ResponseMatch match = matchResponse(Dialect, answer, id);
@@ -236,7 +236,7 @@
     if (isKept && isInOrder && connection->Buffer.size() == 0 &&
         repeatsId(Dialect, answer, id))
       putIdle(call.Address, connection);
-    co_return judge(std::move(answer));
+    co_return classifyResponse(std::move(answer));
   }
 }
 
--- a/src/libfleet/gate/endpointclient.h
+++ b/src/libfleet/gate/endpointclient.h
@@ -61,10 +61,10 @@
   asio::awaitable<EndpointResult> readResponse(ConnectionPtr connection,
                                                const EndpointCall &call,
                                                std::shared_ptr<bool> isWritten);
-  EndpointResult judge(HttpResponse answer) const;
+  EndpointResult classifyResponse(HttpResponse answer) const;
   asio::awaitable<bool> isListening(std::string address);
   asio::awaitable<EndpointResult>
-  explainLoss(std::string address, ErrorKind kind, std::string detail);
+  classifyLoss(std::string address, ErrorKind kind, std::string detail);
 
   asio::any_io_executor Executor;
   const HttpDialect &Dialect;
