--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -89,7 +89,7 @@
 
   /// False if the endpoint has closed the connection or sent something that
   /// nobody asked for.
-  bool isQuiet() {
+  bool isReusable() {
     error_code ec;
     tcp::socket &socket = Stream.socket();
     socket.non_blocking(true, ec);
@@ -114,7 +114,7 @@
   std::list<ConnectionPtr> &idle = Idle[address];
   Micros limit = isIdempotent ? IdleLimit : IdleLimitNonIdempotent;
   std::erase_if(idle, [](const ConnectionPtr &it) {
-    return now() - it->IdleSince > IdleLimit || !it->isQuiet();
+    return now() - it->IdleSince > IdleLimit || !it->isReusable();
   });
   if (idle.empty() || now() - idle.back()->IdleSince > limit)
     return nullptr;
