--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -52,9 +52,9 @@
                          Metrics &metrics, Events events)
     : Executor(ex), Timer(ex), BootId(bootId), Dialect(dialect),
       Counters(metrics), Handlers(std::move(events)), Client(ex, dialect) {
-  Kernel.Node = settings.Node;
-  Kernel.AnnouncementLimit = settings.AnnouncementLimit;
-  Kernel.Rng.seed(std::uint64_t(bootId));
+  State.Node = settings.Node;
+  State.AnnouncementLimit = settings.AnnouncementLimit;
+  State.Rng.seed(std::uint64_t(bootId));
 }
 
 void GateService::start() { scheduleTick(); }
@@ -66,13 +66,13 @@
     return;
   IsTicking = true;
   CurrentPeriod = period;
-  Kernel.TickDue = now() + period;
+  State.TickDue = now() + period;
   Timer.expires_after(period);
   Timer.async_wait([this](const error_code &ec) {
     if (ec)
       return;
     IsTicking = false;
-    carryOut(tick(Kernel, now()));
+    carryOut(tick(State, now()));
     while (!Results.empty() && now() - Results.front().At > ResultTerm) {
       ResultBytes -= sizeOf(*Results.front().Result);
       Results.pop_front();
@@ -139,7 +139,7 @@
   exchange->Request = toTicket(ticket, channel->ageMs() - ticket.linkAgeMs);
   exchange->Origin = ref;
   Exchanges[ticket.attemptId] = exchange;
-  carryOut(offer(Kernel, exchange->Request, now()));
+  carryOut(offer(State, exchange->Request, now()));
 }
 
 void GateService::takeCall(const StreamRef &ref, wire::Call call) {
@@ -190,23 +190,23 @@
       std::make_shared<const std::string>(std::move(exchange->Content));
   const std::string &attempt = exchange->Request.AttemptId;
   if (exchange->IsGranted)
-    carryOut(claim(Kernel, attempt, now()));
+    carryOut(claim(State, attempt, now()));
   else
-    carryOut(offer(Kernel, exchange->Request, now()));
+    carryOut(offer(State, exchange->Request, now()));
 }
 
 void GateService::takeCancel(const StreamRef &ref) {
   ExchangePtr exchange = findByStream(ref);
   if (!exchange)
     return;
-  carryOut(cancel(Kernel, exchange->Request.AttemptId, now()));
+  carryOut(cancel(State, exchange->Request.AttemptId, now()));
   Exchanges.erase(exchange->Request.AttemptId);
 }
 
 void GateService::takeKeep(const StreamRef &ref) {
   ExchangePtr exchange = findByStream(ref);
   if (exchange)
-    keep(Kernel, exchange->Request.AttemptId);
+    keep(State, exchange->Request.AttemptId);
 }
 
 void GateService::takeRevoke(const StreamRef &ref,
@@ -224,7 +224,7 @@
   GateActions actions;
   Instant forgetAt = now() + Millis(revokeFrame.timeoutMs) + RevokeMemory;
   StartState state =
-      revoke(Kernel, revokeFrame.attemptId, forgetAt, now(), actions);
+      revoke(State, revokeFrame.attemptId, forgetAt, now(), actions);
   auto exchange = Exchanges.find(revokeFrame.attemptId);
   if (state == StartState::Started && exchange != Exchanges.end()) {
     exchange->second->Followers.push_back(ref);
@@ -247,7 +247,7 @@
   auto it = Exchanges.find(action.AttemptId);
   if (it == Exchanges.end()) {
     carryOut(
-        complete(Kernel, action.AttemptId, AttemptOutcome::Cancelled, now()));
+        complete(State, action.AttemptId, AttemptOutcome::Cancelled, now()));
     return;
   }
   it->second->Endpoint = action.Endpoint;
@@ -259,7 +259,7 @@
   auto channel =
       it == Exchanges.end() ? nullptr : it->second->Origin.Channel.lock();
   if (!channel || !channel->isOpen()) {
-    carryOut(cancel(Kernel, action.AttemptId, now()));
+    carryOut(cancel(State, action.AttemptId, now()));
     Exchanges.erase(action.AttemptId);
     return;
   }
@@ -310,8 +310,8 @@
             {"reason", action.Reason}});
   Counters.countStanding(std::string(toString(action.State)));
   if (action.State == Standing::Suspect) {
-    auto it = Kernel.Endpoints.find(action.Endpoint);
-    if (it != Kernel.Endpoints.end())
+    auto it = State.Endpoints.find(action.Endpoint);
+    if (it != State.Endpoints.end())
       Client.forget(it->second.Facts.Address);
   }
   publishEndpoints();
@@ -322,7 +322,7 @@
 }
 
 void GateService::carryOutOne(const CrashAction &action) {
-  const CrashRecord &record = Kernel.Crashes.Records[action.Fingerprint];
+  const CrashRecord &record = State.Crashes.Records[action.Fingerprint];
   logEvent(LogLevel::Warn, "endpoint_crash",
            {{"service", action.Service},
             {"fingerprint", fingerprintName(action.Fingerprint)},
@@ -332,8 +332,8 @@
 
 asio::awaitable<void> GateService::run(ExchangePtr exchange,
                                        std::string endpoint) {
-  auto it = Kernel.Endpoints.find(endpoint);
-  if (it == Kernel.Endpoints.end() || exchange->IsDone)
+  auto it = State.Endpoints.find(endpoint);
+  if (it == State.Endpoints.end() || exchange->IsDone)
     co_return;
   HttpRequest request = exchange->Http;
   std::string attempt = exchange->Request.AttemptId;
@@ -370,7 +370,7 @@
             {"status", result.Answer ? result.Answer->Status : 0},
             {"detail", result.Failure.Detail},
             {"ms", toMillis(result.RunTime).count()}});
-  GateActions actions = complete(Kernel, attempt, result.Outcome, now());
+  GateActions actions = complete(State, attempt, result.Outcome, now());
   Exchanges.erase(attempt);
   auto kept = std::make_shared<const EndpointResult>(std::move(result));
   reply(exchange->Origin, *kept, exchange->Request.Service, exchange->Endpoint);
@@ -429,7 +429,7 @@
 }
 
 wire::Load GateService::wireLoad(const std::string &service) const {
-  GateLoad load = loadOf(Kernel, service, now());
+  GateLoad load = loadOf(State, service, now());
   wire::Load out;
   out.freeSlots = load.FreeSlots;
   out.queued = load.Queued;
@@ -439,46 +439,46 @@
 }
 
 std::int64_t GateService::announceEndpoint(const Announcement &facts) {
-  carryOut(announce(Kernel, facts, now()));
+  carryOut(announce(State, facts, now()));
   publishEndpoints();
-  auto after = Kernel.Endpoints.find(facts.Name);
-  return after == Kernel.Endpoints.end() ? 0 : after->second.Generation;
+  auto after = State.Endpoints.find(facts.Name);
+  return after == State.Endpoints.end() ? 0 : after->second.Generation;
 }
 
 void GateService::withdrawEndpoint(const std::string &name) {
-  carryOut(withdraw(Kernel, name, now()));
+  carryOut(withdraw(State, name, now()));
 }
 
 void GateService::noteDeparted(const std::vector<DepartedRecord> &departed) {
   for (const DepartedRecord &it : departed) {
     logEvent(LogLevel::Info, "endpoint_departed_before",
              {{"endpoint", it.Name}, {"started_at_ms", it.StartedAtMs}});
-    carryOut(hickoryglade::noteDeparted(Kernel, it, now()));
+    carryOut(hickoryglade::noteDeparted(State, it, now()));
   }
   publishEndpoints();
 }
 
 void GateService::applyEjection(const std::string &endpoint,
                                 std::optional<Instant> until) {
-  carryOut(setEjection(Kernel, endpoint, until, now()));
+  carryOut(setEjection(State, endpoint, until, now()));
 }
 
 void GateService::applyView(const FleetViewPtr &view) {
   for (const auto &[name, service] : view->Services) {
-    Kernel.Services[name].Policy = service.Policy;
-    Kernel.Services[name].Shares = service.Shares;
-    noteGates(Kernel.Services[name], int(service.Gates.size()));
+    State.Services[name].Policy = service.Policy;
+    State.Services[name].Shares = service.Shares;
+    noteGates(State.Services[name], int(service.Gates.size()));
   }
   for (const auto &[fingerprint, record] : view->Crashes.Records)
-    mergeCrash(Kernel.Crashes, fingerprint, record);
-  Kernel.Crashes.Released = view->Crashes.Released;
+    mergeCrash(State.Crashes, fingerprint, record);
+  State.Crashes.Released = view->Crashes.Released;
 }
 
-void GateService::drainNow() { carryOut(drain(Kernel, now())); }
+void GateService::drainNow() { carryOut(drain(State, now())); }
 
 nlohmann::json GateService::report() const {
   auto all = nlohmann::json::array();
-  for (const auto &[name, it] : Kernel.Endpoints)
+  for (const auto &[name, it] : State.Endpoints)
     all.push_back(
         {{"name", name},
          {"service", it.Facts.Service},
@@ -494,12 +494,12 @@
 
 void GateService::publishEndpoints() {
   std::vector<EndpointRecord> records;
-  for (const auto &[name, it] : Kernel.Endpoints) {
+  for (const auto &[name, it] : State.Endpoints) {
     bool isSilent = now() - it.LastHeard > it.AnnouncementLimit;
     records.push_back({name, it.Facts.Service, it.Facts.Slots, it.Generation,
                        isSilent ? Standing::Draining : it.State});
   }
-  std::vector<DepartedRecord> departed = departedRecords(Kernel);
+  std::vector<DepartedRecord> departed = departedRecords(State);
   if (records == Published && departed == PublishedDeparted)
     return;
   Published = records;
--- a/src/libfleet/gate/gateservice.h
+++ b/src/libfleet/gate/gateservice.h
@@ -54,7 +54,7 @@
   /// The endpoints of this node, with the reasons for their standing.
   nlohmann::json report() const;
 
-  bool idle() const { return isIdle(Kernel) && Exchanges.empty(); }
+  bool idle() const { return isIdle(State) && Exchanges.empty(); }
 
 private:
   struct Exchange;
@@ -112,7 +112,7 @@
   Metrics &Counters;
   Events Handlers;
   EndpointClient Client;
-  Gate Kernel;
+  Gate State;
   std::map<std::string, ExchangePtr> Exchanges;
   /// What the fleet has last been told of the endpoints.
   std::vector<EndpointRecord> Published;
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -38,8 +38,8 @@
                                      TrafficCounters &traffic,
                                      Membership initial, Events events)
     : Socket(io), Timer(io), ListenAddress(std::move(listenAddress)),
-      Traffic(traffic), Kernel(std::move(initial)),
-      Handlers(std::move(events)) {}
+      Traffic(traffic), State(std::move(initial)), Handlers(std::move(events)) {
+}
 
 absl::Status MembershipService::start() {
   std::optional<udp::endpoint> at = toEndpoint(ListenAddress);
@@ -59,31 +59,31 @@
 }
 
 void MembershipService::describe(const MemberRecord &record, bool isUrgent) {
-  std::int64_t before = Kernel.Revision;
-  describeSelf(Kernel, record);
-  if (isUrgent && Kernel.Revision != before)
-    send(spreadNow(Kernel, UrgentFanOut));
+  std::int64_t before = State.Revision;
+  describeSelf(State, record);
+  if (isUrgent && State.Revision != before)
+    send(spreadNow(State, UrgentFanOut));
   reportChange();
 }
 
 void MembershipService::addSeeds(const std::vector<std::string> &addresses) {
-  hickoryglade::addSeeds(Kernel, addresses, now());
+  hickoryglade::addSeeds(State, addresses, now());
   scheduleTick();
 }
 
 void MembershipService::spreadCrash(std::uint64_t fingerprint,
                                     const CrashRecord &record) {
   mergeCrash(Known, fingerprint, record);
-  sendCrash(fingerprint, record, peers(Kernel).size());
+  sendCrash(fingerprint, record, peers(State).size());
 }
 
 wire::Gossip MembershipService::ownGossip() const {
   wire::Gossip gossip;
   gossip.kind = wire::GossipKind::UPDATES;
-  gossip.sender = Kernel.Self;
-  gossip.senderAddress = Kernel.Members.at(Kernel.Self).Record.FleetAddress;
-  if (Kernel.SettingsNext > 0)
-    gossip.__set_settingsNext(Kernel.SettingsNext);
+  gossip.sender = State.Self;
+  gossip.senderAddress = State.Members.at(State.Self).Record.FleetAddress;
+  if (State.SettingsNext > 0)
+    gossip.__set_settingsNext(State.SettingsNext);
   return gossip;
 }
 
@@ -91,7 +91,7 @@
   wire::Gossip gossip = ownGossip();
   gossip.__set_standings(toWire(report));
   std::string bytes = encodeGossip(gossip);
-  for (const Member *peer : nearPeers(Kernel))
+  for (const Member *peer : nearPeers(State))
     sendBytes(peer->Record.FleetAddress, bytes, TrafficCause::Standings);
 }
 
@@ -99,8 +99,8 @@
   wire::Gossip gossip = ownGossip();
   gossip.isSettingsFresh = isFresh;
   std::string bytes = encodeGossip(gossip);
-  std::vector<const Member *> targets = nearPeers(Kernel);
-  std::ranges::shuffle(targets, Kernel.Rng);
+  std::vector<const Member *> targets = nearPeers(State);
+  std::ranges::shuffle(targets, State.Rng);
   targets.resize(std::min(targets.size(), fanOut));
   for (const Member *target : targets)
     sendBytes(target->Record.FleetAddress, bytes, TrafficCause::Settings);
@@ -116,8 +116,8 @@
   it.remainingMs = toMillis(record.Expiry - now()).count();
   gossip.quarantines.push_back(it);
   std::string bytes = encodeGossip(gossip);
-  std::vector<const Member *> targets = peers(Kernel);
-  std::ranges::shuffle(targets, Kernel.Rng);
+  std::vector<const Member *> targets = peers(State);
+  std::ranges::shuffle(targets, State.Rng);
   targets.resize(std::min(targets.size(), fanOut));
   for (const Member *target : targets)
     sendBytes(target->Record.FleetAddress, bytes);
@@ -141,15 +141,15 @@
     logEvent(LogLevel::Warn, "gossip_malformed", {{"bytes", n}});
     return;
   }
-  std::int64_t newest = Kernel.Newest.Next;
-  bool wasProbing = Kernel.Pending.has_value();
-  send(receive(Kernel, *message, now()));
-  if (!Kernel.FormerDeparted.empty() && Handlers.OnDeparted)
-    Handlers.OnDeparted(std::exchange(Kernel.FormerDeparted, {}));
+  std::int64_t newest = State.Newest.Next;
+  bool wasProbing = State.Pending.has_value();
+  send(receive(State, *message, now()));
+  if (!State.FormerDeparted.empty() && Handlers.OnDeparted)
+    Handlers.OnDeparted(std::exchange(State.FormerDeparted, {}));
   // Spares the wake-up at which the probe would have been late.
-  if (wasProbing && !Kernel.Pending)
+  if (wasProbing && !State.Pending)
     scheduleTick();
-  if (Kernel.Newest.Next > newest && Handlers.OnNewerSettings)
+  if (State.Newest.Next > newest && Handlers.OnNewerSettings)
     Handlers.OnNewerSettings();
   takeCrashes(*gossip);
   if (gossip->isSettingsFresh && Handlers.OnFreshSettings)
@@ -192,29 +192,29 @@
 }
 
 bool MembershipService::isFar(const std::string &address) const {
-  const std::string &own = Kernel.Members.at(Kernel.Self).Record.DataCentre;
-  return std::ranges::none_of(Kernel.Members, [&](const auto &it) {
+  const std::string &own = State.Members.at(State.Self).Record.DataCentre;
+  return std::ranges::none_of(State.Members, [&](const auto &it) {
     const MemberRecord &record = it.second.Record;
     return record.DataCentre == own && record.FleetAddress == address;
   });
 }
 
 void MembershipService::scheduleTick() {
-  Instant due = std::max(nextDue(Kernel), now() + LeastTickGap);
+  Instant due = std::max(nextDue(State), now() + LeastTickGap);
   Timer.expires_at(toSteady(due));
   Timer.async_wait([this](const error_code &ec) {
     if (ec)
       return;
-    send(tick(Kernel, now()));
+    send(tick(State, now()));
     reportChange();
     scheduleTick();
   });
 }
 
 void MembershipService::reportChange() {
-  if (Kernel.Revision == ReportedRevision)
+  if (State.Revision == ReportedRevision)
     return;
-  ReportedRevision = Kernel.Revision;
+  ReportedRevision = State.Revision;
   Handlers.OnChange();
 }
 
--- a/src/libfleet/peers/membershipservice.h
+++ b/src/libfleet/peers/membershipservice.h
@@ -39,13 +39,13 @@
 
   absl::Status start();
 
-  const Membership &state() const { return Kernel; }
+  const Membership &state() const { return State; }
 
   /// Changes the own record and tells others at once.
   void describe(const MemberRecord &record, bool isUrgent);
 
   /// Says in each message up to which version this node has the settings.
-  void setSettingsNext(std::int64_t next) { Kernel.SettingsNext = next; }
+  void setSettingsNext(std::int64_t next) { State.SettingsNext = next; }
 
   /// Asks these addresses for members too.
   void addSeeds(const std::vector<std::string> &addresses);
@@ -78,7 +78,7 @@
   asio::steady_timer Timer;
   std::string ListenAddress;
   TrafficCounters &Traffic;
-  Membership Kernel;
+  Membership State;
   Events Handlers;
   Quarantine Known;
   std::int64_t ReportedRevision = -1;
