--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -16,14 +16,14 @@
 constexpr Micros IdleTickPeriod = std::chrono::milliseconds(1'000);
 
 /// Finished answers are kept for callers whose link broke meanwhile.
-constexpr Micros ResultTerm = std::chrono::seconds(10);
+constexpr Micros ResultRetention = std::chrono::seconds(10);
 constexpr std::size_t MaxResultBytes = 8 * 1024 * 1024;
 
 /// A frame that spent longer than this in a link is late; the rest of its
 /// time allowance shrinks by the delay.
-constexpr std::int64_t UsualLagMs = 50;
+constexpr std::int64_t ToleratedLagMs = 50;
 
-constexpr Micros RevokeMemory = std::chrono::seconds(60);
+constexpr Micros RevokeRetention = std::chrono::seconds(60);
 
 std::size_t sizeOf(const EndpointResult &result) {
   return result.Answer ? result.Answer->Content->size() : 0;
@@ -73,7 +73,7 @@
       return;
     IsTicking = false;
     carryOut(tick(State, now()));
-    while (!Results.empty() && now() - Results.front().At > ResultTerm) {
+    while (!Results.empty() && now() - Results.front().At > ResultRetention) {
       ResultBytes -= sizeOf(*Results.front().Result);
       Results.pop_front();
     }
@@ -100,7 +100,7 @@
 }
 
 Ticket GateService::toTicket(const wire::Ticket &in, std::int64_t lagMs) const {
-  std::int64_t late = std::max<std::int64_t>(lagMs - UsualLagMs, 0);
+  std::int64_t late = std::max<std::int64_t>(lagMs - ToleratedLagMs, 0);
   Ticket out;
   out.AttemptId = in.attemptId;
   out.Workspace = in.workspace;
@@ -222,7 +222,7 @@
   if (done != Results.end())
     return reply(ref, *done->Result, "", done->Endpoint);
   GateActions actions;
-  Instant forgetAt = now() + Millis(revokeFrame.timeoutMs) + RevokeMemory;
+  Instant forgetAt = now() + Millis(revokeFrame.timeoutMs) + RevokeRetention;
   StartState state =
       revoke(State, revokeFrame.attemptId, forgetAt, now(), actions);
   auto exchange = Exchanges.find(revokeFrame.attemptId);
