--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -132,7 +132,9 @@
     idle.pop_front();
 }
 
-void EndpointClient::forget(const std::string &address) { Idle.erase(address); }
+void EndpointClient::closeIdle(const std::string &address) {
+  Idle.erase(address);
+}
 
 asio::awaitable<EndpointClient::ConnectionPtr>
 EndpointClient::connect(std::string address, Instant deadline,
@@ -166,7 +168,7 @@
 asio::awaitable<EndpointResult>
 EndpointClient::classifyLoss(std::string address, ErrorKind kind,
                              std::string detail) {
-  forget(address);
+  closeIdle(address);
   bool isAlive = co_await isListening(address);
   if (isAlive) {
     asio::steady_timer pause(Executor, ExitTime);
--- a/src/libfleet/gate/endpointclient.h
+++ b/src/libfleet/gate/endpointclient.h
@@ -47,7 +47,7 @@
   exchange(EndpointCall call, std::shared_ptr<ExchangeHandle> handle);
 
   /// Closes idle connections to an endpoint.
-  void forget(const std::string &address);
+  void closeIdle(const std::string &address);
 
 private:
   struct Connection;
--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -312,7 +312,7 @@
   if (action.State == Standing::Suspect) {
     auto it = State.Endpoints.find(action.Endpoint);
     if (it != State.Endpoints.end())
-      Client.forget(it->second.Facts.Address);
+      Client.closeIdle(it->second.Facts.Address);
   }
   publishEndpoints();
 }
