--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -155,7 +155,7 @@
   it.IsOpen = false;
   --Loads[loadKey(it.Gate.Node, attempt.Request->MatchedRoute.Service)]
         .Outstanding;
-  it.Client->forget(it.Stream);
+  it.Client->closeStream(it.Stream);
   wire::Frame frame;
   frame.stream = it.Stream;
   frame.__set_cancel({});
@@ -282,7 +282,7 @@
   }
   for (const Attempt::RelayedQuery &it : attempt.Relayed)
     if (it.Client)
-      it.Client->forget(it.Stream);
+      it.Client->closeStream(it.Stream);
   if (verdict)
     co_return std::move(*verdict);
   co_return makeError(ErrorKind::GateLost, "the gate cannot be reached",
--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -104,7 +104,7 @@
   client->channel().send(std::move(frame));
   std::optional<StreamEvent> event = co_await box->next(until);
   context.Scope->OnCancel = nullptr;
-  client->forget(stream);
+  client->closeStream(stream);
   auto *reply = event ? std::get_if<wire::KeyReply>(&event->Content) : nullptr;
   if (!reply)
     co_return std::nullopt;
--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -254,7 +254,7 @@
   frame.__set_keyRequest(request);
   client->channel().send(std::move(frame));
   std::optional<StreamEvent> event = co_await box->next(until);
-  client->forget(stream);
+  client->closeStream(stream);
   auto *reply = event ? std::get_if<wire::KeyReply>(&event->Content) : nullptr;
   if (!reply)
     co_return std::nullopt;
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -158,7 +158,7 @@
   frame.__isset.keyRequest = true;
   client->channel().send(std::move(frame));
   std::optional<StreamEvent> event = co_await box->next(now() + VouchLimit);
-  client->forget(stream);
+  client->closeStream(stream);
   auto *reply = event ? std::get_if<wire::KeyReply>(&event->Content) : nullptr;
   co_return reply && reply->verdict == int(KeyVerdict::Granted);
 }
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -171,7 +171,7 @@
     client->channel().send(std::move(frame));
     std::optional<StreamEvent> event =
         co_await box->next(now() + SnapshotLimit);
-    client->forget(stream);
+    client->closeStream(stream);
     auto *content =
         event ? std::get_if<wire::Snapshot>(&event->Content) : nullptr;
     if (!content || content->settingsOffset < 0)
--- a/src/libfleet/peers/gateclient.cpp
+++ b/src/libfleet/peers/gateclient.cpp
@@ -16,7 +16,7 @@
   return id;
 }
 
-void GateClient::forget(std::int64_t stream) {
+void GateClient::closeStream(std::int64_t stream) {
   if (Streams.erase(stream) == 0)
     return;
   Channel->dropBody(stream);
@@ -49,7 +49,7 @@
     put(std::move(frame.snapshot));
   else
     return false;
-  forget(frame.stream);
+  closeStream(frame.stream);
   return true;
 }
 
@@ -84,7 +84,7 @@
   stream.Box->put(
       {stream.Tag, AnswerEvent{std::move(answer), stream.Head->endpoint,
                                stream.Head->load, Micros(stream.Head->runUs)}});
-  forget(id);
+  closeStream(id);
 }
 
 void GateClient::lose() {
--- a/src/libfleet/peers/gateclient.h
+++ b/src/libfleet/peers/gateclient.h
@@ -59,7 +59,7 @@
 
   /// Opens a stream whose events go to the mailbox.
   std::int64_t open(std::shared_ptr<StreamMailbox> mailbox, std::size_t tag);
-  void forget(std::int64_t stream);
+  void closeStream(std::int64_t stream);
 
   FrameChannel &channel() { return *Channel; }
   std::size_t openStreams() const { return Streams.size(); }
--- a/src/libfleet/peers/revokerelay.cpp
+++ b/src/libfleet/peers/revokerelay.cpp
@@ -82,7 +82,7 @@
   frame.__set_revoke(question);
   client->channel().send(std::move(frame));
   std::optional<StreamEvent> event = co_await box->next(until);
-  client->forget(stream);
+  client->closeStream(stream);
   co_return event;
 }
 
