--- a/src/libfleet/peers/gateclient.cpp
+++ b/src/libfleet/peers/gateclient.cpp
@@ -12,7 +12,7 @@
                               std::size_t tag) {
   std::int64_t id = NextStream++;
   Streams[id] = {std::move(mailbox), tag, std::nullopt, {}};
-  countChanged();
+  notifyStreamCount();
   return id;
 }
 
@@ -20,7 +20,7 @@
   if (Streams.erase(stream) == 0)
     return;
   Channel->dropBody(stream);
-  countChanged();
+  notifyStreamCount();
 }
 
 bool GateClient::takeFrame(wire::Frame frame) {
@@ -87,15 +87,15 @@
   closeStream(id);
 }
 
-void GateClient::lose() {
+void GateClient::failStreams() {
   std::map<std::int64_t, Stream> lost = std::move(Streams);
   Streams.clear();
   for (auto &[id, stream] : lost)
     stream.Box->put({stream.Tag, LostEvent{}});
-  countChanged();
+  notifyStreamCount();
 }
 
-void GateClient::countChanged() {
+void GateClient::notifyStreamCount() {
   if (OnStreamCount)
     OnStreamCount(Streams.size());
 }
--- a/src/libfleet/peers/gateclient.h
+++ b/src/libfleet/peers/gateclient.h
@@ -66,7 +66,7 @@
 
   /// Returns false if the frame breaks the protocol.
   bool takeFrame(wire::Frame frame);
-  void lose();
+  void failStreams();
 
   /// Called whenever the number of open streams changes.
   std::function<void(std::size_t)> OnStreamCount;
@@ -83,7 +83,7 @@
   bool takeData(std::int64_t id, Stream &stream, wire::Data data);
   bool takeHead(std::int64_t id, Stream &stream, wire::Answer head);
   void finishAnswer(std::int64_t id, Stream &stream);
-  void countChanged();
+  void notifyStreamCount();
 
   std::shared_ptr<FrameChannel> Channel;
   std::map<std::int64_t, Stream> Streams;
--- a/src/libfleet/peers/peerlinks.cpp
+++ b/src/libfleet/peers/peerlinks.cpp
@@ -115,7 +115,7 @@
     *slot = nullptr;
     noteDown(node);
     if (client)
-      client->lose();
+      client->failStreams();
   };
   return events;
 }
