--- a/src/libfleet/peers/link.cpp
+++ b/src/libfleet/peers/link.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr Micros BeatPeriod = std::chrono::milliseconds(150);
+constexpr Micros HeartbeatPeriod = std::chrono::milliseconds(150);
 
 /// Silence after which a busy link is given up: two lost beats and the time for
 /// which a VM with a processor quota may stand still.
@@ -62,7 +62,7 @@
   send(std::move(hello));
   IsStarted = true;
   readPrefix();
-  beat();
+  sendHeartbeat();
 }
 
 /// Until the peer has said where it is, it is taken to be far.
@@ -88,8 +88,8 @@
     return;
   Busy = isBusy;
   BusySince = now();
-  if (IsStarted && !IsBeating)
-    beat();
+  if (IsStarted && !IsHeartbeatActive)
+    sendHeartbeat();
 }
 
 void Link::send(wire::Frame frame) {
@@ -207,23 +207,23 @@
 
 /// Goes on only while streams are in flight. The first beat goes out at once:
 /// an idle link may have been cut off long ago.
-void Link::beat() {
-  IsBeating = Busy;
+void Link::sendHeartbeat() {
+  IsHeartbeatActive = Busy;
   if (!Busy || !Open)
     return;
   wire::Frame frame;
-  frame.heartbeat.sequence = ++Beats;
+  frame.heartbeat.sequence = ++HeartbeatSequence;
   frame.heartbeat.reply = false;
   frame.__isset.heartbeat = true;
   send(std::move(frame));
-  Timer.expires_after(BeatPeriod);
+  Timer.expires_after(HeartbeatPeriod);
   Timer.async_wait([self = shared_from_this()](const error_code &ec) {
     if (ec || !self->Open)
       return;
     Instant since = std::max(self->LastHeard, self->BusySince);
     if (self->Busy && now() - since > SilenceLimit)
       return self->close("silent");
-    self->beat();
+    self->sendHeartbeat();
   });
 }
 
--- a/src/libfleet/peers/link.h
+++ b/src/libfleet/peers/link.h
@@ -59,7 +59,7 @@
   void takeFrame(wire::Frame frame);
   void writeNext();
   bool gather();
-  void beat();
+  void sendHeartbeat();
 
   bool isFar() const;
 
@@ -78,12 +78,12 @@
   bool IsWriting = false;
   bool Open = true;
   bool Busy = false;
-  bool IsBeating = false;
+  bool IsHeartbeatActive = false;
   bool IsStarted = false;
   Instant OpenedAt;
   Instant LastHeard;
   Instant BusySince;
-  std::int64_t Beats = 0;
+  std::int64_t HeartbeatSequence = 0;
 };
 
 } // namespace hickoryglade::fleet
