--- a/src/libfleet/peers/link.cpp
+++ b/src/libfleet/peers/link.cpp
@@ -117,7 +117,7 @@
 }
 
 /// Urgent frames first, then one piece of the body whose turn it is.
-bool Link::gather() {
+bool Link::fillWriteBuffer() {
   Writing.clear();
   while (!Urgent.empty() && Writing.size() < MaxWriteBytes) {
     Writing += Urgent.front();
@@ -142,7 +142,7 @@
 }
 
 void Link::writeNext() {
-  if (!Open || !gather()) {
+  if (!Open || !fillWriteBuffer()) {
     IsWriting = false;
     return;
   }
--- a/src/libfleet/peers/link.h
+++ b/src/libfleet/peers/link.h
@@ -58,7 +58,7 @@
   void readContent(std::size_t length);
   void takeFrame(wire::Frame frame);
   void writeNext();
-  bool gather();
+  bool fillWriteBuffer();
   void sendHeartbeat();
 
   bool isFar() const;
