--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -303,7 +303,7 @@
     it.IsPathUp = Links.isPathUp(gate.Node, now);
     auto node = View->Nodes.find(gate.Node);
     if (!it.IsPathUp && node != View->Nodes.end())
-      Links.tryAgain(gate.Node, node->second, now);
+      Links.reconnectIfDue(gate.Node, node->second, now);
     it.WasTried =
         std::ranges::find(context.Tried, gate.Node) != context.Tried.end();
     const GateLoadView &load = Loads[loadKey(gate.Node, service)];
--- a/src/libfleet/peers/peerlinks.cpp
+++ b/src/libfleet/peers/peerlinks.cpp
@@ -16,7 +16,7 @@
 constexpr Micros PollPeriod = std::chrono::milliseconds(2);
 
 /// A lost path is left alone this long, doubling with further losses.
-constexpr Micros FirstDown = std::chrono::milliseconds(250);
+constexpr Micros InitialBackoff = std::chrono::milliseconds(250);
 constexpr int MaxDoublings = 3;
 
 } // namespace
@@ -77,7 +77,7 @@
   Peer &peer = Peers[node];
   peer.IsConnecting = false;
   if (ec || !socket->is_open()) {
-    noteDown(node);
+    startBackoff(node);
     co_return;
   }
   auto slot = std::make_shared<GateClient *>(nullptr);
@@ -113,16 +113,16 @@
     peer.Client = nullptr;
     peer.Connection = nullptr;
     *slot = nullptr;
-    noteDown(node);
+    startBackoff(node);
     if (client)
       client->failStreams();
   };
   return events;
 }
 
-void PeerLinks::noteDown(const std::string &node) {
+void PeerLinks::startBackoff(const std::string &node) {
   Peer &peer = Peers[node];
-  Micros pause = FirstDown * (1 << std::min(peer.Losses, MaxDoublings));
+  Micros pause = InitialBackoff * (1 << std::min(peer.Losses, MaxDoublings));
   ++peer.Losses;
   peer.DownUntil = now() + pause;
 }
@@ -136,8 +136,8 @@
   return peer.Connection && peer.Connection->peer() && now >= peer.DownUntil;
 }
 
-void PeerLinks::tryAgain(const std::string &node, const NodeView &view,
-                         Instant now) {
+void PeerLinks::reconnectIfDue(const std::string &node, const NodeView &view,
+                               Instant now) {
   auto it = Peers.find(node);
   if (it == Peers.end() || it->second.Losses == 0)
     return;
--- a/src/libfleet/peers/peerlinks.h
+++ b/src/libfleet/peers/peerlinks.h
@@ -28,7 +28,8 @@
   bool isPathUp(const std::string &node, Instant now) const;
 
   /// Opens a lost path anew, if that is due, so that no request has to.
-  void tryAgain(const std::string &node, const NodeView &view, Instant now);
+  void reconnectIfDue(const std::string &node, const NodeView &view,
+                      Instant now);
 
   void closeAll();
 
@@ -43,7 +44,7 @@
   };
 
   asio::awaitable<void> open(std::string node, std::string address);
-  void noteDown(const std::string &node);
+  void startBackoff(const std::string &node);
   Link::Events eventsFor(const std::string &node,
                          const std::shared_ptr<GateClient *> &slot);
 
