--- a/src/libfleet/peers/peerlinks.cpp
+++ b/src/libfleet/peers/peerlinks.cpp
@@ -12,7 +12,7 @@
 /// Longest time for a connection and the hellos over it, and how much of it a
 /// request waits before it goes elsewhere.
 constexpr Micros ConnectLimit = std::chrono::milliseconds(500);
-constexpr Micros RequestPatience = std::chrono::milliseconds(200);
+constexpr Micros RequestConnectLimit = std::chrono::milliseconds(200);
 constexpr Micros PollPeriod = std::chrono::milliseconds(2);
 
 /// A lost path is left alone this long, doubling with further losses.
@@ -34,7 +34,7 @@
 PeerLinks::connect(std::string node, const NodeView &view, Instant until) {
   if (node == LocalNode)
     co_return Local;
-  until = std::min(until, now() + RequestPatience);
+  until = std::min(until, now() + RequestConnectLimit);
   std::string address = view.FleetAddress;
   while (true) {
     Peer &peer = Peers[node];
