--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -258,7 +258,7 @@
   OwnStandings.States = std::move(states);
   ++OwnStandings.Sequence;
   takeReport(Standings, OwnStandings, now());
-  Members.spreadStandings(OwnStandings);
+  Members.broadcastStandings(OwnStandings);
   repeatStandings();
 }
 
@@ -272,7 +272,7 @@
     if (!OwnStandings.States.empty()) {
       ++OwnStandings.Sequence;
       takeReport(Standings, OwnStandings, now());
-      Members.spreadStandings(OwnStandings);
+      Members.broadcastStandings(OwnStandings);
     }
     if (expireReports(Standings, now()))
       scheduleRebuild();
@@ -284,7 +284,7 @@
 void Control::noteCrash(std::uint64_t fingerprint, const CrashRecord &record) {
   if (mergeCrash(Crashes, fingerprint, record))
     scheduleRebuild();
-  Members.spreadCrash(fingerprint, record);
+  Members.broadcastCrash(fingerprint, record);
 }
 
 void Control::leave() {
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -80,7 +80,7 @@
       return;
     if (isReader() && Settings.isLogReachable() && Settings.isLoaded() &&
         !isBehind())
-      Members.spreadSettings(peers(Members.state()).size(), true);
+      Members.sendSettingsVersion(peers(Members.state()).size(), true);
     beatSettings();
   });
 }
@@ -91,7 +91,7 @@
     return;
   SpreadNext = next;
   bool isFresh = isReader() && Settings.isLogReachable();
-  Members.spreadSettings(
+  Members.sendSettingsVersion(
       isFresh ? peers(Members.state()).size() : SettingsFanOut, isFresh);
 }
 
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -71,8 +71,8 @@
   scheduleTick();
 }
 
-void MembershipService::spreadCrash(std::uint64_t fingerprint,
-                                    const CrashRecord &record) {
+void MembershipService::broadcastCrash(std::uint64_t fingerprint,
+                                       const CrashRecord &record) {
   mergeCrash(Known, fingerprint, record);
   sendCrash(fingerprint, record, peers(State).size());
 }
@@ -87,7 +87,7 @@
   return gossip;
 }
 
-void MembershipService::spreadStandings(const StandingReport &report) {
+void MembershipService::broadcastStandings(const StandingReport &report) {
   wire::Gossip gossip = ownGossip();
   gossip.__set_standings(toWire(report));
   std::string bytes = encodeGossip(gossip);
@@ -95,7 +95,7 @@
     sendBytes(peer->Record.FleetAddress, bytes, TrafficCause::Standings);
 }
 
-void MembershipService::spreadSettings(std::size_t fanOut, bool isFresh) {
+void MembershipService::sendSettingsVersion(std::size_t fanOut, bool isFresh) {
   wire::Gossip gossip = ownGossip();
   gossip.isSettingsFresh = isFresh;
   std::string bytes = encodeGossip(gossip);
--- a/src/libfleet/peers/membershipservice.h
+++ b/src/libfleet/peers/membershipservice.h
@@ -51,14 +51,14 @@
   void addSeeds(const std::vector<std::string> &addresses);
 
   /// Tells all members of a crash record.
-  void spreadCrash(std::uint64_t fingerprint, const CrashRecord &record);
+  void broadcastCrash(std::uint64_t fingerprint, const CrashRecord &record);
 
   /// Tells the members of this node's data centre.
-  void spreadStandings(const StandingReport &report);
+  void broadcastStandings(const StandingReport &report);
 
   /// Tells members of this node's data centre, some or all, which version of
   /// the settings it has.
-  void spreadSettings(std::size_t fanOut, bool isFresh);
+  void sendSettingsVersion(std::size_t fanOut, bool isFresh);
 
 private:
   wire::Gossip ownGossip() const;
