--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -235,7 +235,7 @@
   else
     record.SettingsNext = Settings.state().Next;
   record.LedgerNext = Leases.agent().Ledger.Next;
-  Members.describe(record, isUrgent);
+  Members.publishSelf(record, isUrgent);
 }
 
 void Control::setEndpoints(std::vector<EndpointRecord> endpoints,
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -58,7 +58,7 @@
   return absl::OkStatus();
 }
 
-void MembershipService::describe(const MemberRecord &record, bool isUrgent) {
+void MembershipService::publishSelf(const MemberRecord &record, bool isUrgent) {
   std::int64_t before = State.Revision;
   describeSelf(State, record);
   if (isUrgent && State.Revision != before)
--- a/src/libfleet/peers/membershipservice.h
+++ b/src/libfleet/peers/membershipservice.h
@@ -42,7 +42,7 @@
   const Membership &state() const { return State; }
 
   /// Changes the own record and tells others at once.
-  void describe(const MemberRecord &record, bool isUrgent);
+  void publishSelf(const MemberRecord &record, bool isUrgent);
 
   /// Says in each message up to which version this node has the settings.
   void setSettingsNext(std::int64_t next) { State.SettingsNext = next; }
