--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 /// Due times that are past do not make the service spin.
-constexpr Micros LeastTickGap = std::chrono::milliseconds(10);
+constexpr Micros MinTickInterval = std::chrono::milliseconds(10);
 
 /// Members told at once of a change; the others hear of it by gossip.
 constexpr std::size_t UrgentFanOut = 32;
 
 /// Members to whom news of a crash is passed on by each who hears it first.
-constexpr std::size_t CrashForwards = 4;
+constexpr std::size_t CrashFanOut = 4;
 
 std::optional<udp::endpoint> toEndpoint(const std::string &address) {
   std::optional<Address> parsed = parseAddress(address);
@@ -129,12 +129,12 @@
                               if (ec == asio::error::operation_aborted)
                                 return;
                               if (!ec)
-                                take(n);
+                                handleDatagram(n);
                               receiveNext();
                             });
 }
 
-void MembershipService::take(std::size_t n) {
+void MembershipService::handleDatagram(std::size_t n) {
   auto gossip = decodeGossip(std::string_view(Buffer.data(), n));
   auto message = gossip ? fromWire(*gossip) : std::nullopt;
   if (!message) {
@@ -169,7 +169,7 @@
     if (!mergeCrash(Known, fingerprint, record))
       continue;
     Handlers.OnCrash(fingerprint, record);
-    sendCrash(fingerprint, Known.Records[fingerprint], CrashForwards);
+    sendCrash(fingerprint, Known.Records[fingerprint], CrashFanOut);
   }
 }
 
@@ -200,7 +200,7 @@
 }
 
 void MembershipService::scheduleTick() {
-  Instant due = std::max(nextDue(State), now() + LeastTickGap);
+  Instant due = std::max(nextDue(State), now() + MinTickInterval);
   Timer.expires_at(toSteady(due));
   Timer.async_wait([this](const error_code &ec) {
     if (ec)
--- a/src/libfleet/peers/membershipservice.h
+++ b/src/libfleet/peers/membershipservice.h
@@ -63,7 +63,7 @@
 private:
   wire::Gossip ownGossip() const;
   void receiveNext();
-  void take(std::size_t n);
+  void handleDatagram(std::size_t n);
   void sendCrash(std::uint64_t fingerprint, const CrashRecord &record,
                  std::size_t fanOut);
   void takeCrashes(const wire::Gossip &gossip);
