--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -259,7 +259,7 @@
   if (frame.__isset.keyRequest)
     return Keys->takeFrame(from, frame);
   if (frame.__isset.revoke && !frame.revoke.askedNode.empty())
-    return Relay->take(from, frame);
+    return Relay->forward(from, frame);
   if (!frame.__isset.snapshotRequest)
     return Gate->takeFrame(from, std::move(frame));
   asio::post(ControlLoop.Io, [this, from, stream = frame.stream] {
--- a/src/libfleet/peers/revokerelay.cpp
+++ b/src/libfleet/peers/revokerelay.cpp
@@ -32,18 +32,18 @@
 RevokeRelay::RevokeRelay(asio::any_io_executor ex, PeerLinks &links)
     : Executor(std::move(ex)), Links(links) {}
 
-void RevokeRelay::take(const std::shared_ptr<FrameChannel> &from,
-                       const wire::Frame &frame) {
-  asio::co_spawn(Executor, carry(from, frame.stream, frame.revoke),
+void RevokeRelay::forward(const std::shared_ptr<FrameChannel> &from,
+                          const wire::Frame &frame) {
+  asio::co_spawn(Executor, forwardQuery(from, frame.stream, frame.revoke),
                  asio::detached);
 }
 
-asio::awaitable<void> RevokeRelay::carry(std::weak_ptr<FrameChannel> from,
-                                         std::int64_t stream,
-                                         wire::Revoke question) {
+asio::awaitable<void>
+RevokeRelay::forwardQuery(std::weak_ptr<FrameChannel> from, std::int64_t stream,
+                          wire::Revoke question) {
   std::string attempt = question.attemptId;
   std::string gate = question.askedNode;
-  std::optional<StreamEvent> event = co_await ask(std::move(question));
+  std::optional<StreamEvent> event = co_await queryGate(std::move(question));
   StreamEvent reply = event ? std::move(*event) : StreamEvent{0, LostEvent{}};
   wire::Frame frame = frameFor(reply);
   logEvent(
@@ -65,7 +65,7 @@
 
 /// Nothing if the gate cannot be reached or says nothing in time.
 asio::awaitable<std::optional<StreamEvent>>
-RevokeRelay::ask(wire::Revoke question) {
+RevokeRelay::queryGate(wire::Revoke question) {
   Instant until = now() + Millis(question.timeoutMs);
   auto gate = View->Nodes.find(question.askedNode);
   if (gate == View->Nodes.end())
--- a/src/libfleet/peers/revokerelay.h
+++ b/src/libfleet/peers/revokerelay.h
@@ -21,13 +21,14 @@
 
   void applyView(FleetViewPtr view) { View = std::move(view); }
 
-  void take(const std::shared_ptr<FrameChannel> &from,
-            const wire::Frame &frame);
+  void forward(const std::shared_ptr<FrameChannel> &from,
+               const wire::Frame &frame);
 
 private:
-  asio::awaitable<void> carry(std::weak_ptr<FrameChannel> from,
-                              std::int64_t stream, wire::Revoke question);
-  asio::awaitable<std::optional<StreamEvent>> ask(wire::Revoke question);
+  asio::awaitable<void> forwardQuery(std::weak_ptr<FrameChannel> from,
+                                     std::int64_t stream,
+                                     wire::Revoke question);
+  asio::awaitable<std::optional<StreamEvent>> queryGate(wire::Revoke question);
 
   asio::any_io_executor Executor;
   PeerLinks &Links;
