--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -190,7 +190,7 @@
   while (!IsLeaving) {
     DirectoryEntry own{Facts.AdvertisedAddress, Facts.DataCentre};
     if (!isEntered)
-      isEntered = co_await Directory->enter(Facts.Node, std::move(own));
+      isEntered = co_await Directory->registerNode(Facts.Node, std::move(own));
     auto entries = co_await Directory->list();
     if (entries)
       Members.addSeeds(chooseSeeds(std::move(*entries)));
--- a/src/libfleet/peers/nodedirectory.h
+++ b/src/libfleet/peers/nodedirectory.h
@@ -23,8 +23,8 @@
   virtual ~NodeDirectory() = default;
 
   /// Enters a node; returns false if the directory could not be reached.
-  virtual asio::awaitable<bool> enter(std::string node,
-                                      DirectoryEntry entry) = 0;
+  virtual asio::awaitable<bool> registerNode(std::string node,
+                                             DirectoryEntry entry) = 0;
 
   /// Removes a node that leaves for good; returns false if the directory could
   /// not be reached.
