--- a/src/libfleet/http/httpcaller.cpp
+++ b/src/libfleet/http/httpclient.cpp
@@ -1,4 +1,4 @@
-#include "libfleet/http/httpcaller.h"
+#include "libfleet/http/httpclient.h"
 
 #include "libfleet/base/address.h"
 
--- a/src/libfleet/http/httpfront.cpp
+++ b/src/libfleet/http/httpserver.cpp
@@ -1,4 +1,4 @@
-#include "libfleet/http/httpfront.h"
+#include "libfleet/http/httpserver.h"
 
 #include "libfleet/base/clock.h"
 #include "libfleet/base/listening.h"
--- a/src/libfleet/log/logclient.h
+++ b/src/libfleet/log/logclient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libfleet/http/httpcaller.h"
+#include "libfleet/http/httpclient.h"
 #include "libhickoryglade/instant.h"
 
 #include <cstdint>
--- a/src/libfleet/node/adminfront.h
+++ b/src/libfleet/node/adminfront.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libfleet/http/httpfront.h"
+#include "libfleet/http/httpserver.h"
 #include "libfleet/node/platformadapter.h"
 #include "libhickoryglade/announcement.h"
 
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -4,7 +4,7 @@
 #include "libfleet/base/loop.h"
 #include "libfleet/entry/entry.h"
 #include "libfleet/gate/gateservice.h"
-#include "libfleet/http/httpfront.h"
+#include "libfleet/http/httpserver.h"
 #include "libfleet/keys/keyservice.h"
 #include "libfleet/node/adminfront.h"
 #include "libfleet/node/control.h"
