--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -19,21 +19,22 @@
 
 using nlohmann::json;
 
-/// How long a request waits for its service to have a candidate.
+/// How long a request waits until its service has a candidate gate.
 constexpr Micros CandidateWait = std::chrono::milliseconds(200);
 
-/// A gate's report older than this says nothing any more.
+/// A gate's load report older than this is ignored.
 constexpr Micros LoadReportMaxAge = std::chrono::milliseconds(500);
 
-/// Part of its target latency that a class of requests is taken to need until
-/// one has been seen: operators set targets to a few times the usual run time.
+/// Until a request of a class has been observed, its expected cost is the
+/// target latency divided by this: operators set targets to a few times the
+/// usual run time.
 constexpr int UnknownCostDivisor = 3;
 
-/// How long a gate's word on its endpoint's standing counts: a doubtful
-/// endpoint rests for about as long.
+/// How long the standing that a gate reported for its endpoints is used: a
+/// doubtful endpoint gets no requests for about as long.
 constexpr Micros ReportedStandingMaxAge = std::chrono::seconds(1);
 
-/// Between tries of a request that a stopping node still has to place.
+/// Pause between the retries that mayRetryDuringDrain() allows.
 constexpr Micros DrainRetryPause = std::chrono::milliseconds(100);
 
 constexpr std::size_t MaxKeyBytes = 255;
@@ -57,7 +58,8 @@
   return hash;
 }
 
-/// An endpoint's report of a failure is worth another try where that is safe.
+/// True for a response that goes to the caller as it is. A server error is
+/// retried first if the request is idempotent.
 bool isFinalAnswer(const EntryResult &result, bool isIdempotent) {
   constexpr int leastServerError = 500;
   const auto *answer = std::get_if<HttpResponse>(&result);
@@ -128,7 +130,8 @@
   co_return answer;
 }
 
-/// The caller's time or the setting's default, within the route's limit.
+/// The caller's timeout, or the configured default, capped at the route's
+/// limit.
 Millis Entry::allowedTime(const HttpRequest &request,
                           const ServicePolicy &policy,
                           std::optional<Error> &fault) const {
@@ -212,8 +215,8 @@
     EntryResult result = co_await tryOnce(context, number);
     if (isFinalAnswer(result, context.IsIdempotent))
       co_return result;
-    bool isReport = std::holds_alternative<HttpResponse>(result);
-    if (isReport && !errors.tryTake())
+    bool isErrorResponse = std::holds_alternative<HttpResponse>(result);
+    if (isErrorResponse && !errors.tryTake())
       co_return result;
     if (auto *answer = std::get_if<HttpResponse>(&result)) {
       failure = std::move(*answer);
@@ -260,8 +263,9 @@
   }
 }
 
-// Work that a gate has taken from its endpoint is not given up by a stopping
-// node because there is no room elsewhere at this moment.
+// A stopping node keeps retrying an idempotent request whose earlier attempt
+// was aborted at its endpoint. Without this, the request would fail because no
+// slot is free elsewhere at the moment.
 bool Entry::mayRetryDuringDrain(const RequestContext &context,
                                 const Error &error) const {
   bool mayRunAgain = context.IsIdempotent && context.Runs > 0 &&
@@ -272,17 +276,17 @@
          hasTime && !context.Scope->IsCancelled;
 }
 
-/// Members of other data centres do not hear of passing standings; what a gate
-/// said of itself a moment ago goes before.
+/// Prefers the standing that the gate itself reported a moment ago: short-lived
+/// standings are not sent to members in other data centres.
 Standing Entry::standingOf(const GateView &gate, const GateLoadView &load,
                            Instant now) {
-  bool isTold = load.Load.standing > 0 &&
-                load.Load.standing <= 1 + int(Standing::Draining);
+  bool isReported = load.Load.standing > 0 &&
+                    load.Load.standing <= 1 + int(Standing::Draining);
   bool isFresh = load.At != Instant{} && now - load.At < ReportedStandingMaxAge;
   bool isRecord =
       gate.State == Standing::Draining || gate.State == Standing::Ejected;
-  return isTold && isFresh && !isRecord ? Standing(load.Load.standing - 1)
-                                        : gate.State;
+  return isReported && isFresh && !isRecord ? Standing(load.Load.standing - 1)
+                                            : gate.State;
 }
 
 std::vector<Candidate> Entry::candidates(const RequestContext &context,
@@ -318,8 +322,8 @@
   return all;
 }
 
-/// Waits a little for a candidate to appear, since news of a change may be on
-/// its way.
+/// Waits up to CandidateWait for a candidate, because a membership update may
+/// be in flight.
 asio::awaitable<RoutePlan> Entry::planRoute(RequestContext &context,
                                             bool isSerialized,
                                             std::vector<Candidate> &all) {
@@ -391,7 +395,8 @@
   context.Scope->OnCancel = nullptr;
   for (std::size_t i = 0; i < attempt.Targets.size(); ++i)
     cancelStream(attempt, i);
-  // Another data centre may have room.
+  // Counts as a taken slot, so that the next attempt may go to another data
+  // centre.
   auto *error = std::get_if<Error>(&result);
   if (error && attempt.IsWaitBounded && error->Kind == ErrorKind::Overloaded)
     error->Kind = ErrorKind::SlotTaken;
--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -18,15 +18,17 @@
 
 class Metrics;
 
-/// A caller's request with all that has been decided about it.
+/// A caller's request with its route, its limits and the history of its
+/// attempts.
 struct RequestContext {
   std::string Id;
-  /// The caller's own id for it, if callers choose one.
+  /// Value of the caller's request id header; empty if there is none.
   std::string CallerId;
   HttpRequest Http;
   Route MatchedRoute;
   Instant Deadline;
-  /// Until when an answer has its full value.
+  /// Time by which the request should be answered, from the service's target
+  /// latency.
   Instant Target;
   std::uint64_t Fingerprint = 0;
   CostClass Class;
@@ -35,25 +37,25 @@
   std::string IdempotencyKey;
   /// Endpoints that the request has crashed so far.
   int Crashes = 0;
-  /// Attempts that an endpoint has seen.
+  /// Attempts that reached an endpoint.
   int Arrivals = 0;
   /// Attempts that an endpoint may have run.
   int Runs = 0;
-  /// Times that gates have refused it for want of room.
+  /// Refusals by gates that had no free slot.
   int RoomRefusals = 0;
-  /// Times that gates have refused it because of doubt about their endpoints.
+  /// Refusals by gates whose endpoints were doubtful.
   int DoubtRefusals = 0;
   /// Gate of the latest attempt that reached one.
   std::string LastGate;
-  /// Gates that have refused or failed it.
+  /// Gates that refused the request or failed to complete it.
   std::vector<std::string> Tried;
   std::shared_ptr<CallScope> Scope;
 };
 
 using EntryResult = std::variant<HttpResponse, Error>;
 
-/// Takes callers' requests on one traffic thread: finds the route, chooses a
-/// gate, tries again where that is safe, and answers.
+/// Serves callers' requests on one traffic thread: matches the route, selects a
+/// gate, retries where that is safe, and responds.
 class Entry {
 public:
   Entry(asio::any_io_executor ex, const NodeSettings &settings,
@@ -65,18 +67,20 @@
 
   std::size_t inFlight() const { return InFlight; }
 
-  /// The node stops: work that runs stays where it is until it ends.
+  /// Called when the node begins to stop: asks the gates to let open attempts
+  /// finish in place.
   void beginDrain();
 
-  /// The node ends at this time: what cannot be finished before is answered
-  /// while there is time to. Called again and again until the end.
+  /// Fails requests that cannot be completed before the node exits at `end`,
+  /// while their responses can still be written. Called repeatedly until then.
   void enforceShutdownDeadline(Instant end);
 
   asio::awaitable<HttpResponse> serve(HttpRequest request,
                                       std::shared_ptr<CallScope> scope);
 
 private:
-  /// A gate's latest report and what this entry has sent it since.
+  /// A gate's latest load report and the number of streams that this entry has
+  /// open to the gate.
   struct GateLoadView {
     wire::Load Load;
     Instant At;
@@ -130,7 +134,8 @@
   std::string Node;
   std::string DataCentre;
   std::string Service;
-  /// Idempotency keys need keepers, who find each other through the log.
+  /// True if idempotency keys are supported: keepers locate each other through
+  /// the log.
   bool HasKeepers;
   std::int64_t BootId;
   std::size_t Worker;
@@ -142,13 +147,13 @@
   CostModel Costs;
   Splitter Splits;
   std::map<std::string, RetryBudget> Budgets;
-  /// For answers that report an endpoint's error.
+  /// Retry budgets for server errors that endpoints returned.
   std::map<std::string, RetryBudget> ErrorBudgets;
   Random Rng;
   std::uint64_t Requests = 0;
   std::size_t InFlight = 0;
   bool IsDraining = false;
-  /// When the node ends, while it stops.
+  /// When the node exits; set while it is stopping.
   std::optional<Instant> EndsAt;
   std::set<Attempt *> Attempts;
 };
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -7,24 +7,24 @@
 
 #include <algorithm>
 
-/// The part of an entry that sends attempts to gates and hears of them.
+/// The part of Entry that sends attempts to gates and processes their replies.
 
 namespace hickoryglade::fleet {
 
 namespace {
 
-/// A gate answers within the deadline it is given; an entry gives it this much
-/// less than the caller allows.
+/// Subtracted from the caller's deadline for the gate, so that a reply at the
+/// gate's deadline arrives in time.
 constexpr Micros AnswerMargin = std::chrono::milliseconds(2);
 
-/// Time to write the last answers before the node ends.
+/// Time reserved for writing the last responses before the node exits.
 constexpr Micros AnswerWriteTime = std::chrono::milliseconds(150);
 
-/// Refusals because of doubt after which a request that may run only once takes
-/// the next endpoint whose standing is good.
+/// After this many refusals by doubtful endpoints, a request also accepts an
+/// endpoint whose running work is silent but whose standing is good.
 constexpr int MaxDoubtRefusals = 4;
 
-/// Most requests end within this many times their expected time.
+/// Most requests complete within this multiple of their expected run time.
 constexpr int UsualRunFactor = 2;
 
 Error shutdownError(RunState run) {
@@ -113,7 +113,7 @@
   it.Client->channel().sendBody(it.Stream, http.Content);
 }
 
-// A stopping node that tried again elsewhere might end before the second try.
+// A stopping node might exit before a retry on another endpoint completes.
 void Entry::beginDrain() {
   IsDraining = true;
   for (Attempt *attempt : Attempts)
@@ -132,22 +132,22 @@
   return EndsAt && now() + work + AnswerWriteTime >= *EndsAt;
 }
 
-// Work that waits would be cut off in the middle if it started too late. It has
-// not run, and its caller can go elsewhere.
+// A waiting request that starts too late would be aborted halfway. Failing it
+// before it runs lets the caller safely send it to another node.
 void Entry::enforceShutdownDeadline(Instant end) {
   EndsAt = end;
   bool isOver = now() + AnswerWriteTime >= end;
   for (Attempt *attempt : Attempts) {
-    bool isInVain =
+    bool isHopeless =
         isOver || (attempt->isWaiting() && isTooLateToStart(*attempt->Request));
-    if (attempt->IsStopped || !isInVain)
+    if (attempt->IsStopped || !isHopeless)
       continue;
     attempt->IsStopped = true;
     attempt->Box->put({0, StoppedEvent{}});
   }
 }
 
-/// Ends a stream that is still open, telling the gate to stop.
+/// Closes a stream that is still open and sends the gate a cancel frame.
 void Entry::cancelStream(Attempt &attempt, std::size_t target) {
   Attempt::Target &it = attempt.Targets[target];
   if (!it.IsOpen)
@@ -255,20 +255,20 @@
   }
 }
 
-/// After a lost link, asks the gate over a fresh one, or through another node
-/// that may still reach it, what became of the attempt: it is fenced, or its
-/// answer follows.
+/// After the link is lost, queries the gate for the outcome of the attempt over
+/// a new link, or through a node that may still reach the gate. The gate fences
+/// an attempt that has not started, and otherwise sends its result.
 asio::awaitable<EntryResult> Entry::resolveOutcome(Attempt &attempt,
                                                    std::size_t target) {
   cancelStream(attempt, target);
-  std::optional<EntryResult> verdict;
-  while (!verdict && now() < attempt.Request->Deadline) {
+  std::optional<EntryResult> result;
+  while (!result && now() < attempt.Request->Deadline) {
     if (attempt.Request->Scope->IsCancelled)
       co_return makeError(ErrorKind::Cancelled);
-    bool isAsked = co_await queryGate(attempt, target);
-    if (!isAsked)
-      isAsked = co_await queryThroughPeer(attempt, target);
-    if (!isAsked) {
+    bool isQuerySent = co_await queryGate(attempt, target);
+    if (!isQuerySent)
+      isQuerySent = co_await queryThroughPeer(attempt, target);
+    if (!isQuerySent) {
       asio::steady_timer pause(Executor, ResolvePause);
       co_await pause.async_wait(asio::use_awaitable);
       continue;
@@ -277,20 +277,20 @@
         co_await attempt.Box->next(attempt.waitUntil());
     if (!event)
       break;
-    verdict = resultFrom(attempt, *event);
+    result = resultFrom(attempt, *event);
     cancelStream(attempt, target);
   }
   for (const Attempt::RelayedQuery &it : attempt.Relayed)
     if (it.Client)
       it.Client->closeStream(it.Stream);
-  if (verdict)
-    co_return std::move(*verdict);
+  if (result)
+    co_return std::move(*result);
   co_return makeError(ErrorKind::GateLost, "the gate cannot be reached",
                       DefaultRetryAfter);
 }
 
-/// What a gate's reply means for the attempt; nothing if it has to be asked
-/// again.
+/// Converts a gate's reply to the result of the attempt; nullopt if the gate
+/// has to be queried again.
 std::optional<EntryResult> Entry::resultFrom(Attempt &attempt,
                                              StreamEvent &event) const {
   if (auto *revoked = std::get_if<RevokedEvent>(&event.Content)) {
@@ -326,29 +326,30 @@
   co_return true;
 }
 
-/// Paths between nodes may be cut one by one: each node is asked once.
+/// The path between two nodes may fail while others work. Each node is tried as
+/// a relay once.
 asio::awaitable<bool> Entry::queryThroughPeer(Attempt &attempt,
                                               std::size_t target) {
-  std::string helper = pickRelay(attempt, target);
-  auto view = View->Nodes.find(helper);
+  std::string relay = pickRelay(attempt, target);
+  auto view = View->Nodes.find(relay);
   if (view == View->Nodes.end())
     co_return false;
   NodeView at = view->second;
-  attempt.Relayed.push_back({helper, nullptr, 0});
-  auto client = co_await Links.connect(helper, at, attempt.Request->Deadline);
+  attempt.Relayed.push_back({relay, nullptr, 0});
+  auto client = co_await Links.connect(relay, at, attempt.Request->Deadline);
   logEvent(LogLevel::Info, "gate_asked_through_peer",
            {{"request", attempt.Request->Id},
             {"attempt", attempt.Id},
             {"gate", attempt.Targets[target].Gate.Node},
-            {"through", helper},
+            {"through", relay},
             {"reached", client != nullptr}});
   if (!client)
     co_return false;
-  Attempt::RelayedQuery &question = attempt.Relayed.back();
-  question.Client = client;
-  question.Stream = client->open(attempt.Box, target);
+  Attempt::RelayedQuery &query = attempt.Relayed.back();
+  query.Client = client;
+  query.Stream = client->open(attempt.Box, target);
   wire::Frame frame;
-  frame.stream = question.Stream;
+  frame.stream = query.Stream;
   frame.revoke = attempt.makeRevoke(target);
   frame.revoke.askedNode = attempt.Targets[target].Gate.Node;
   frame.__isset.revoke = true;
@@ -381,7 +382,8 @@
 Error Entry::toError(Attempt &attempt, const wire::Failure &failure) const {
   attempt.Request->Crashes += failure.isCrash;
   attempt.Request->Arrivals += failure.hasReached;
-  // Another copy's crash counts for this one before the news comes.
+  // A crash that another copy of the request caused counts for this one before
+  // its crash record arrives here.
   if (errorKindFromWire(failure.kind) == ErrorKind::ContentSuspect)
     attempt.Request->Crashes = std::max(attempt.Request->Crashes, 1);
   RunState run = failure.run == int(RunState::NotRun) ? RunState::NotRun
--- a/src/libfleet/entry/entryattempt.h
+++ b/src/libfleet/entry/entryattempt.h
@@ -5,18 +5,18 @@
 
 namespace hickoryglade::fleet {
 
-/// An entry waits this much longer than the caller for word of what became of
-/// the request.
+/// How long past the caller's deadline an entry waits for the result of an
+/// attempt.
 constexpr Micros ResultGrace = std::chrono::milliseconds(30);
 
-/// Between tries to reach a gate that owes word of an attempt, and between
-/// looks for a gate that can take a request.
+/// Pause between queries for the outcome of an attempt while the gate is
+/// unreachable, and between searches for a candidate gate.
 constexpr Micros ResolvePause = std::chrono::milliseconds(20);
 
 /// Key of a gate's load for a service.
 std::string loadKey(const std::string &node, const std::string &service);
 
-/// One try of a request: the gates asked, and the streams open to them.
+/// One attempt of a request: its target gates and the streams opened to them.
 struct Entry::Attempt {
   struct Target {
     GateView Gate;
@@ -26,7 +26,7 @@
     bool IsOpen = false;
   };
 
-  /// A question to the gate that another node passes on.
+  /// An outcome query that another node forwards to the gate.
   struct RelayedQuery {
     std::string Node;
     std::shared_ptr<GateClient> Client;
@@ -36,7 +36,7 @@
   RequestContext *Request = nullptr;
   std::string Id;
   std::vector<Target> Targets;
-  /// Questions through other nodes about what became of the attempt.
+  /// Outcome queries sent through other nodes.
   std::vector<RelayedQuery> Relayed;
   std::shared_ptr<StreamMailbox> Box;
   bool AwaitsGrant = false;
@@ -46,13 +46,13 @@
   bool IsSerialized = false;
   /// A gate has granted a slot.
   bool IsGranted = false;
-  /// It has been told that the node ends.
+  /// A StoppedEvent has been put into the mailbox.
   bool IsStopped = false;
 
-  /// True until a gate may have started it.
+  /// True while no gate can have started the attempt.
   bool isWaiting() const { return AwaitsGrant && !IsGranted; }
 
-  /// Asks a gate what became of the attempt.
+  /// Builds the frame that queries a gate for the outcome of the attempt.
   wire::Revoke makeRevoke(std::size_t target) const;
 
   Instant waitUntil() const { return Request->Deadline + ResultGrace; }
