--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -20,8 +20,8 @@
 /// Time reserved for writing the last responses before the node exits.
 constexpr Micros AnswerWriteTime = std::chrono::milliseconds(150);
 
-/// After this many refusals by doubtful endpoints, a request also accepts an
-/// endpoint whose running work is silent but whose standing is good.
+/// After this many refusals by doubtful endpoints, a non-idempotent request
+/// also accepts an endpoint whose running work is silent.
 constexpr int MaxDoubtRefusals = 4;
 
 /// Most requests complete within this multiple of their expected run time.
--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -21,8 +21,9 @@
 /// A process that ends may close its connections before it stops listening.
 constexpr Micros ExitTime = std::chrono::milliseconds(50);
 
-/// An idle connection may have been forgotten by something between its ends.
-/// Work that cannot be repeated trusts only one that worked a moment ago.
+/// A middlebox may have dropped the state of an idle connection without closing
+/// it. Non-idempotent requests therefore use only a connection that worked a
+/// moment ago.
 constexpr Micros IdleLimit = std::chrono::seconds(15);
 constexpr Micros IdleLimitNonIdempotent = std::chrono::seconds(1);
 
@@ -72,8 +73,9 @@
   return answer;
 }
 
-/// An answer that ends when its connection closes cannot be told from a
-/// truncated one, unless the endpoint is known to close in order.
+/// True if the end of the response is known from its head. A body delimited by
+/// the end of the connection cannot be distinguished from a truncated one,
+/// unless endpoints are known to close connections only after the whole body.
 template <typename Parser>
 bool isLengthKnown(const Parser &parser, bool isHead) {
   int status = int(parser.get().result_int());
@@ -87,8 +89,8 @@
 struct EndpointClient::Connection {
   explicit Connection(const asio::any_io_executor &ex) : Stream(ex) {}
 
-  /// False if the endpoint has closed the connection or sent something that
-  /// nobody asked for.
+  /// False if the endpoint has closed the connection or sent bytes outside a
+  /// response.
   bool isReusable() {
     error_code ec;
     tcp::socket &socket = Stream.socket();
@@ -163,8 +165,8 @@
   co_return connection != nullptr;
 }
 
-/// A connection that broke may mean that the endpoint's process is gone; it
-/// is if nothing listens at its address.
+/// Distinguishes a broken connection from a crashed endpoint: its process has
+/// ended if nothing listens at its address.
 asio::awaitable<EndpointResult>
 EndpointClient::classifyLoss(std::string address, ErrorKind kind,
                              std::string detail) {
@@ -192,7 +194,7 @@
   return EndpointResult{outcome, std::move(answer), {}, Micros{0}};
 }
 
-/// Reads answers until one belongs to the request: late ones to earlier
+/// Reads responses until one belongs to the request: late responses to earlier
 /// requests may come first.
 asio::awaitable<EndpointResult>
 EndpointClient::readResponse(ConnectionPtr connection, const EndpointCall &call,
@@ -244,7 +246,8 @@
 
 namespace {
 
-/// Sends a request; an endpoint may answer before it has read all of it.
+/// Writes a request. Runs beside readResponse(), because an endpoint may
+/// respond before it has read all of the request.
 template <typename Connection>
 asio::awaitable<void> writeRequest(std::shared_ptr<Connection> connection,
                                    http::request<http::string_body> message,
--- a/src/libfleet/gate/endpointclient.h
+++ b/src/libfleet/gate/endpointclient.h
@@ -15,20 +15,20 @@
 /// How an exchange with an endpoint ended.
 struct EndpointResult {
   AttemptOutcome Outcome = AttemptOutcome::Failed;
-  /// Set for a whole answer.
+  /// Set for a complete response.
   std::optional<HttpResponse> Answer;
   /// Set otherwise.
   Error Failure;
   Micros RunTime{0};
 };
 
-/// Lets the owner of an exchange give it up.
+/// Lets the owner of an exchange cancel it.
 struct ExchangeHandle {
   std::function<void()> Cancel;
   bool IsCancelled = false;
 };
 
-/// A request on its way to an endpoint.
+/// A request to be sent to an endpoint.
 struct EndpointCall {
   std::string Address;
   HttpRequest Request;
@@ -36,8 +36,8 @@
   Instant Deadline;
 };
 
-/// Speaks HTTP/1.1 to endpoints over pooled connections, one exchange at a
-/// time on each. Used from one thread only.
+/// HTTP/1.1 client for endpoints with a pool of connections, each of which
+/// carries one exchange at a time. Used from one thread only.
 class EndpointClient {
 public:
   EndpointClient(asio::any_io_executor ex, const HttpDialect &dialect);
--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-/// Between ticks while nothing waits or runs.
+/// Period of ticks while no request is queued or running.
 constexpr Micros IdleTickPeriod = std::chrono::milliseconds(1'000);
 
-/// Finished answers are kept for callers whose link broke meanwhile.
+/// Results are kept for entries whose link broke before they received them.
 constexpr Micros ResultRetention = std::chrono::seconds(10);
 constexpr std::size_t MaxResultBytes = 8 * 1024 * 1024;
 
-/// A frame that spent longer than this in a link is late; the rest of its
-/// time allowance shrinks by the delay.
+/// Delay of a frame in its link up to which its timeout is left unchanged. Any
+/// further delay is subtracted from the timeout.
 constexpr std::int64_t ToleratedLagMs = 50;
 
 constexpr Micros RevokeRetention = std::chrono::seconds(60);
@@ -34,7 +34,7 @@
 struct GateService::Exchange {
   Ticket Request;
   StreamRef Origin;
-  /// Streams that asked for the result after their link broke.
+  /// Streams that queried the result after the original link broke.
   std::vector<StreamRef> Followers;
   HttpRequest Http;
   std::string Content;
@@ -59,7 +59,7 @@
 
 void GateService::start() { scheduleTick(); }
 
-/// Ticks often while requests wait or run, and seldom otherwise.
+/// Uses a short period while requests are queued or running.
 void GateService::scheduleTick() {
   Micros period = idle() ? IdleTickPeriod : TickPeriod;
   if (IsTicking && period >= CurrentPeriod)
--- a/src/libfleet/gate/gateservice.h
+++ b/src/libfleet/gate/gateservice.h
@@ -20,11 +20,12 @@
 
 class Metrics;
 
-/// Carries out what the kernel's gate decides: receives calls over channels,
-/// runs them at endpoints, answers. Lives on the first traffic thread.
+/// Executes the actions that the library's Gate returns: receives calls over
+/// channels, runs them at endpoints and replies. Used from the first traffic
+/// thread only.
 class GateService {
 public:
-  /// News for the control thread, called on the gate's thread.
+  /// Callbacks for the control thread, called on the gate's thread.
   struct Events {
     std::function<void(std::vector<EndpointRecord>,
                        std::vector<DepartedRecord>)>
@@ -39,11 +40,11 @@
 
   void start();
 
-  /// Takes a frame of the calling side. Frames that are not for the gate
-  /// are left alone.
+  /// Processes a frame from an entry and ignores frames that are not for a
+  /// gate.
   void takeFrame(const std::shared_ptr<FrameChannel> &from, wire::Frame frame);
 
-  /// Returns the generation under which the endpoint now runs.
+  /// Returns the generation of the endpoint after the announcement.
   std::int64_t announceEndpoint(const Announcement &facts);
   void withdrawEndpoint(const std::string &name);
   void noteDeparted(const std::vector<DepartedRecord> &departed);
@@ -59,7 +60,7 @@
 private:
   struct Exchange;
   using ExchangePtr = std::shared_ptr<Exchange>;
-  /// A channel with one of its streams.
+  /// One stream of a channel.
   struct StreamRef {
     std::weak_ptr<FrameChannel> Channel;
     std::int64_t Stream = 0;
@@ -114,7 +115,7 @@
   EndpointClient Client;
   Gate State;
   std::map<std::string, ExchangePtr> Exchanges;
-  /// What the fleet has last been told of the endpoints.
+  /// Endpoint records as last published to the fleet.
   std::vector<EndpointRecord> Published;
   std::vector<DepartedRecord> PublishedDeparted;
   std::deque<Finished> Results;
