--- a/src/libfleet/peers/framechannel.h
+++ b/src/libfleet/peers/framechannel.h
@@ -10,23 +10,23 @@
 
 namespace hickoryglade::fleet {
 
-/// Two-way passage for frames between an entry and a gate: a link to another
-/// node, or a direct call within one node.
+/// Bidirectional channel for frames between an entry and a gate: a link to
+/// another node, or a LocalChannel within one node.
 class FrameChannel {
 public:
   virtual ~FrameChannel() = default;
 
   virtual void send(wire::Frame frame) = 0;
 
-  /// Sends a body in pieces that take turns with those of other streams.
+  /// Sends a body in chunks that are interleaved with those of other streams.
   virtual void sendBody(std::int64_t stream, Body body) = 0;
 
-  /// Drops what has not been sent of a stream's body.
+  /// Drops the unsent part of a stream's body.
   virtual void dropBody(std::int64_t stream) = 0;
 
   virtual bool isOpen() const = 0;
 
-  /// Time since the channel was opened, by this side's clock.
+  /// Time since the channel was opened, on the clock of this end.
   virtual std::int64_t ageMs() const = 0;
 };
 
--- a/src/libfleet/peers/framecodec.h
+++ b/src/libfleet/peers/framecodec.h
@@ -11,17 +11,17 @@
 
 namespace hickoryglade::fleet {
 
-/// Greatest length of a frame on a link, without its length prefix.
+/// Maximum length of a frame on a link, without its length prefix.
 constexpr std::size_t MaxFrameBytes = 1024 * 1024;
 constexpr std::size_t FramePrefixBytes = 4;
 
 /// Frame with its length prefix, ready to be sent.
 std::string encodeFrame(const wire::Frame &frame);
 
-/// Reads a frame without its prefix; gives nothing for malformed bytes.
+/// Decodes a frame without its prefix; returns nullopt for malformed bytes.
 std::optional<wire::Frame> decodeFrame(std::string_view bytes);
 
-/// Length that a prefix announces.
+/// Decodes the frame length in a prefix.
 std::size_t prefixedLength(std::string_view prefix);
 
 std::string encodeGossip(const wire::Gossip &gossip);
--- a/src/libfleet/peers/gateclient.h
+++ b/src/libfleet/peers/gateclient.h
@@ -20,28 +20,28 @@
   HttpResponse Answer;
   std::string Endpoint;
   wire::Load Load;
-  /// Time that the endpoint took.
+  /// Duration of the exchange with the endpoint.
   Micros RunTime{0};
 };
 
 struct RevokedEvent {
   int State = 0;
-  /// The node that carried the question could not reach the gate.
+  /// The node that relayed the query could not reach the gate.
   bool IsUnreachable = false;
 };
 
-/// The channel closed before the stream was finished.
+/// The channel closed before the stream was complete.
 struct LostEvent {};
 
-/// The caller went away.
+/// The caller closed its connection.
 struct CancelledEvent {};
 
-/// The node ends before the stream could be finished.
+/// The node exits before the stream can complete.
 struct StoppedEvent {};
 
-/// Something that happened to a stream.
+/// An event on a stream.
 struct StreamEvent {
-  /// The number that the stream was opened with.
+  /// The tag that was passed to GateClient::open().
   std::size_t Tag = 0;
   std::variant<GrantEvent, AnswerEvent, wire::Failure, RevokedEvent,
                wire::KeyReply, wire::Snapshot, LostEvent, CancelledEvent,
@@ -51,8 +51,8 @@
 
 using StreamMailbox = Mailbox<StreamEvent>;
 
-/// The asking side of a channel: tells the frames of different streams apart
-/// and puts answers together. Frames of forgotten streams are dropped.
+/// The client side of a channel: demultiplexes frames into streams and
+/// reassembles responses. Frames of closed streams are dropped.
 class GateClient {
 public:
   explicit GateClient(std::shared_ptr<FrameChannel> channel);
@@ -64,8 +64,10 @@
   FrameChannel &channel() { return *Channel; }
   std::size_t openStreams() const { return Streams.size(); }
 
-  /// Returns false if the frame breaks the protocol.
+  /// Returns false if the frame violates the protocol.
   bool takeFrame(wire::Frame frame);
+
+  /// Closes all streams with a LostEvent after the channel was lost.
   void failStreams();
 
   /// Called whenever the number of open streams changes.
@@ -75,7 +77,7 @@
   struct Stream {
     std::shared_ptr<StreamMailbox> Box;
     std::size_t Tag = 0;
-    /// Set from the answer's head until its body is complete.
+    /// Head of the response; set while its body is incomplete.
     std::optional<wire::Answer> Head;
     std::string Content;
   };
@@ -90,7 +92,7 @@
   std::int64_t NextStream = 1;
 };
 
-/// The frame that begins an answer; its body follows apart.
+/// Builds the head frame of a response; its body is sent separately.
 wire::Frame toFrame(const HttpResponse &answer, const std::string &endpoint,
                     const wire::Load &load, Micros runTime);
 
--- a/src/libfleet/peers/link.cpp
+++ b/src/libfleet/peers/link.cpp
@@ -17,14 +17,14 @@
 
 constexpr Micros HeartbeatPeriod = std::chrono::milliseconds(150);
 
-/// Silence after which a busy link is given up: two lost beats and the time for
-/// which a VM with a processor quota may stand still.
+/// Time without frames after which a busy link is closed: covers two lost
+/// heartbeats and the time for which a VM with a processor quota may be paused.
 constexpr Micros SilenceLimit = std::chrono::milliseconds(400);
 
 constexpr std::size_t ChunkBytes = 64 * 1024;
 constexpr std::size_t MaxWriteBytes = 256 * 1024;
 
-/// A peer that does not read is cut off before it fills the memory.
+/// Bounds memory: the link to a peer that does not read is closed.
 constexpr std::size_t MaxQueuedFrames = 100'000;
 
 TrafficCause causeOf(const wire::Frame &frame) {
@@ -52,7 +52,7 @@
            TrafficCause bodies, Events events)
     : Socket(std::move(socket)), Timer(Socket.get_executor()),
       Own(std::move(own)), Traffic(traffic), BodyCause(bodies),
-      Handlers(std::move(events)), OpenedAt(now()), LastHeard(OpenedAt) {}
+      Handlers(std::move(events)), OpenedAt(now()), LastReceived(OpenedAt) {}
 
 void Link::start() {
   error_code ec;
@@ -65,7 +65,7 @@
   sendHeartbeat();
 }
 
-/// Until the peer has said where it is, it is taken to be far.
+/// A peer counts as far until its hello frame names its data centre.
 bool Link::isFar() const { return !Peer || Peer->dataCentre != Own.dataCentre; }
 
 void Link::close(std::string_view reason) {
@@ -96,7 +96,7 @@
   if (!Open)
     return;
   if (Urgent.size() >= MaxQueuedFrames)
-    return close("the peer does not read");
+    return close("send queue full: the peer does not read");
   Urgent.push_back(encodeFrame(frame));
   Traffic.note(causeOf(frame), isFar(), Urgent.back().size());
   if (!IsWriting)
@@ -116,7 +116,7 @@
                 [&](const Outgoing &it) { return it.Stream == stream; });
 }
 
-/// Urgent frames first, then one piece of the body whose turn it is.
+/// Takes urgent frames first, then one chunk of the next body in turn.
 bool Link::fillWriteBuffer() {
   Writing.clear();
   while (!Urgent.empty() && Writing.size() < MaxWriteBytes) {
@@ -187,11 +187,11 @@
 }
 
 void Link::takeFrame(wire::Frame frame) {
-  LastHeard = now();
+  LastReceived = now();
   if (frame.__isset.hello) {
     Peer = frame.hello;
   } else if (!Peer) {
-    return close("no hello");
+    return close("the first frame is not a hello");
   }
   if (frame.__isset.heartbeat) {
     if (frame.heartbeat.reply)
@@ -205,8 +205,8 @@
   Handlers.OnFrame(shared_from_this(), std::move(frame));
 }
 
-/// Goes on only while streams are in flight. The first beat goes out at once:
-/// an idle link may have been cut off long ago.
+/// Repeats only while streams are in flight. The first heartbeat is sent at
+/// once, because an idle link may have been broken for a long time.
 void Link::sendHeartbeat() {
   IsHeartbeatActive = Busy;
   if (!Busy || !Open)
@@ -220,7 +220,7 @@
   Timer.async_wait([self = shared_from_this()](const error_code &ec) {
     if (ec || !self->Open)
       return;
-    Instant since = std::max(self->LastHeard, self->BusySince);
+    Instant since = std::max(self->LastReceived, self->BusySince);
     if (self->Busy && now() - since > SilenceLimit)
       return self->close("silent");
     self->sendHeartbeat();
--- a/src/libfleet/peers/link.h
+++ b/src/libfleet/peers/link.h
@@ -17,9 +17,10 @@
 
 namespace hickoryglade::fleet {
 
-/// A TCP connection that carries frames between two nodes. While it has
-/// streams in flight it exchanges heartbeats; one that falls silent in either
-/// direction closes itself. Used from one thread only.
+/// A TCP connection that carries frames between two nodes. It exchanges
+/// heartbeats while streams are in flight, and closes itself if nothing is
+/// received for too long, whichever direction has failed. Used from one thread
+/// only.
 class Link : public FrameChannel, public std::enable_shared_from_this<Link> {
 public:
   struct Events {
@@ -27,11 +28,12 @@
     std::function<void(const std::shared_ptr<Link> &)> OnClose;
   };
 
-  /// Bodies count as requests or answers, depending on which end this is.
+  /// Traffic of bodies is counted under `bodies`: requests at an entry's end,
+  /// answers at a gate's end.
   Link(tcp::socket socket, wire::Hello own, TrafficCounters &traffic,
        TrafficCause bodies, Events events);
 
-  /// Sends the hello and begins to read.
+  /// Sends the hello frame and starts to read.
   void start();
   void close(std::string_view reason);
 
@@ -41,10 +43,10 @@
   bool isOpen() const override { return Open; }
   std::int64_t ageMs() const override;
 
-  /// Expects heartbeats to be answered while set.
+  /// Heartbeats are sent, and their replies expected, while busy.
   void setBusy(bool isBusy);
 
-  /// The peer's hello, once it has come.
+  /// The peer's hello frame, once received.
   const std::optional<wire::Hello> &peer() const { return Peer; }
 
 private:
@@ -81,7 +83,7 @@
   bool IsHeartbeatActive = false;
   bool IsStarted = false;
   Instant OpenedAt;
-  Instant LastHeard;
+  Instant LastReceived;
   Instant BusySince;
   std::int64_t HeartbeatSequence = 0;
 };
--- a/src/libfleet/peers/linkserver.h
+++ b/src/libfleet/peers/linkserver.h
@@ -11,7 +11,7 @@
 
 namespace hickoryglade::fleet {
 
-/// Accepts links from other nodes on the gate's thread.
+/// Accepts links from other nodes. Runs on the gate's thread.
 class LinkServer {
 public:
   using FrameHandler =
--- a/src/libfleet/peers/localchannel.h
+++ b/src/libfleet/peers/localchannel.h
@@ -11,8 +11,8 @@
 
 namespace hickoryglade::fleet {
 
-/// One direction of a passage between an entry and the gate of its own node:
-/// frames are handed over without being encoded.
+/// One direction of the channel between an entry and the gate of its own node:
+/// frames are passed without being encoded.
 class LocalChannel : public FrameChannel {
 public:
   using Receiver = std::function<void(wire::Frame)>;
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -15,13 +15,14 @@
 
 namespace {
 
-/// Due times that are past do not make the service spin.
+/// Keeps the service from spinning on due times in the past.
 constexpr Micros MinTickInterval = std::chrono::milliseconds(10);
 
-/// Members told at once of a change; the others hear of it by gossip.
+/// Members to which an urgent change is sent at once; the others receive it by
+/// gossip.
 constexpr std::size_t UrgentFanOut = 32;
 
-/// Members to whom news of a crash is passed on by each who hears it first.
+/// Members to which a node forwards a crash record that is new to it.
 constexpr std::size_t CrashFanOut = 4;
 
 std::optional<udp::endpoint> toEndpoint(const std::string &address) {
@@ -146,7 +147,7 @@
   send(receive(State, *message, now()));
   if (!State.FormerDeparted.empty() && Handlers.OnDeparted)
     Handlers.OnDeparted(std::exchange(State.FormerDeparted, {}));
-  // Spares the wake-up at which the probe would have been late.
+  // The probe has been answered: avoids the wake-up at its timeout.
   if (wasProbing && !State.Pending)
     scheduleTick();
   if (State.Newest.Next > newest && Handlers.OnNewerSettings)
@@ -185,7 +186,7 @@
   if (!to)
     return;
   error_code ec;
-  // Standings and settings are told to the own data centre only.
+  // Standings and settings are sent within the data centre only.
   bool isBroad = cause == TrafficCause::Membership;
   Traffic.note(cause, isBroad && isFar(address), bytes.size());
   Socket.send_to(asio::buffer(bytes), *to, 0, ec);
--- a/src/libfleet/peers/membershipservice.h
+++ b/src/libfleet/peers/membershipservice.h
@@ -22,13 +22,14 @@
 class MembershipService {
 public:
   struct Events {
-    /// A belief about some member has changed.
+    /// The state of some member has changed.
     std::function<void()> OnChange;
     std::function<void(std::uint64_t, CrashRecord)> OnCrash;
-    /// Another node has said that it has newer settings than before.
+    /// A gossip message named a newer settings version than any before.
     std::function<void()> OnNewerSettings;
     std::function<void(const StandingReport &)> OnStandings;
-    /// A node that follows the source of settings has this version.
+    /// A node that reads the source of settings has reported this version as
+    /// current.
     std::function<void(std::int64_t next)> OnFreshSettings;
     std::function<void(std::vector<DepartedRecord>)> OnDeparted;
   };
@@ -41,23 +42,24 @@
 
   const Membership &state() const { return State; }
 
-  /// Changes the own record and tells others at once.
+  /// Replaces this node's own record. An urgent change is sent to members at
+  /// once; any other spreads by gossip.
   void publishSelf(const MemberRecord &record, bool isUrgent);
 
-  /// Says in each message up to which version this node has the settings.
+  /// Sets the settings version that this node reports in each message.
   void setSettingsNext(std::int64_t next) { State.SettingsNext = next; }
 
-  /// Asks these addresses for members too.
+  /// Adds addresses to be queried for members.
   void addSeeds(const std::vector<std::string> &addresses);
 
-  /// Tells all members of a crash record.
+  /// Sends a crash record to all members.
   void broadcastCrash(std::uint64_t fingerprint, const CrashRecord &record);
 
-  /// Tells the members of this node's data centre.
+  /// Sends a report to the members in this node's data centre.
   void broadcastStandings(const StandingReport &report);
 
-  /// Tells members of this node's data centre, some or all, which version of
-  /// the settings it has.
+  /// Sends this node's settings version to up to `fanOut` random members in its
+  /// data centre.
   void sendSettingsVersion(std::size_t fanOut, bool isFresh);
 
 private:
--- a/src/libfleet/peers/nodedirectory.h
+++ b/src/libfleet/peers/nodedirectory.h
@@ -8,7 +8,7 @@
 
 namespace hickoryglade::fleet {
 
-/// A node as it has entered itself.
+/// A node as it registered itself.
 struct DirectoryEntry {
   std::string Address;
   /// Empty if it is not known.
@@ -17,20 +17,20 @@
   bool operator==(const DirectoryEntry &) const = default;
 };
 
-/// Where nodes that have just started find others.
+/// Directory in which a node that starts finds other nodes.
 class NodeDirectory {
 public:
   virtual ~NodeDirectory() = default;
 
-  /// Enters a node; returns false if the directory could not be reached.
+  /// Registers a node; returns false if the directory is unreachable.
   virtual asio::awaitable<bool> registerNode(std::string node,
                                              DirectoryEntry entry) = 0;
 
-  /// Removes a node that leaves for good; returns false if the directory could
-  /// not be reached.
+  /// Removes a node that leaves the fleet permanently; returns false if the
+  /// directory is unreachable.
   virtual asio::awaitable<bool> remove(std::string node) = 0;
 
-  /// All nodes entered, or nothing if it could not be reached.
+  /// Returns all registered nodes, or nullopt if the directory is unreachable.
   virtual asio::awaitable<std::optional<std::vector<DirectoryEntry>>>
   list() = 0;
 };
--- a/src/libfleet/peers/peerlinks.cpp
+++ b/src/libfleet/peers/peerlinks.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// Longest time for a connection and the hellos over it, and how much of it a
-/// request waits before it goes elsewhere.
+/// Time limit for the connection and the exchange of hello frames. A request
+/// waits at most RequestConnectLimit of it before it tries another gate.
 constexpr Micros ConnectLimit = std::chrono::milliseconds(500);
 constexpr Micros RequestConnectLimit = std::chrono::milliseconds(200);
 constexpr Micros PollPeriod = std::chrono::milliseconds(2);
 
-/// A lost path is left alone this long, doubling with further losses.
+/// Backoff after the first loss of a link. It doubles with each further loss,
+/// at most MaxDoublings times.
 constexpr Micros InitialBackoff = std::chrono::milliseconds(250);
 constexpr int MaxDoublings = 3;
 
@@ -40,16 +41,16 @@
     Peer &peer = Peers[node];
     bool isMoved = peer.Connection && peer.Address != address;
     if (isMoved)
-      peer.Connection->close("the node has moved");
+      peer.Connection->close("the node's address has changed");
     if (peer.Client && peer.Connection && peer.Connection->isOpen() &&
         peer.Connection->peer())
       co_return peer.Client;
     if (now() >= until)
       co_return nullptr;
-    bool isResting = now() < peer.DownUntil;
-    if (isResting && peer.DownUntil >= until)
+    bool isBackingOff = now() < peer.DownUntil;
+    if (isBackingOff && peer.DownUntil >= until)
       co_return nullptr;
-    if (!isResting && !peer.IsConnecting && !peer.Connection) {
+    if (!isBackingOff && !peer.IsConnecting && !peer.Connection) {
       peer.IsConnecting = true;
       asio::co_spawn(Executor, open(node, address), asio::detached);
     }
@@ -127,7 +128,7 @@
   peer.DownUntil = now() + pause;
 }
 
-/// A path that was lost counts again once a connection over it stands.
+/// A lost path is up again once a new connection over it is established.
 bool PeerLinks::isPathUp(const std::string &node, Instant now) const {
   auto it = Peers.find(node);
   if (it == Peers.end() || it->second.Losses == 0)
--- a/src/libfleet/peers/peerlinks.h
+++ b/src/libfleet/peers/peerlinks.h
@@ -10,24 +10,26 @@
 
 namespace hickoryglade::fleet {
 
-/// Links from one traffic thread to the gates of other nodes, opened when
-/// first needed and again after a loss.
+/// Links from one traffic thread to the gates of other nodes, opened on first
+/// use and reopened after a loss.
 class PeerLinks {
 public:
   PeerLinks(asio::any_io_executor ex, wire::Hello own,
             TrafficCounters &traffic);
 
-  /// Uses this client for the node itself in place of a link.
+  /// Sets the client that is used for the local node instead of a link.
   void setLocal(std::string node, std::shared_ptr<GateClient> client);
 
-  /// Gives an open client, or nothing if the node cannot be reached in time.
+  /// Returns an open client, or nullptr if the node is not reached in time.
   asio::awaitable<std::shared_ptr<GateClient>>
   connect(std::string node, const NodeView &view, Instant until);
 
-  /// False for a short time after a link to the node was lost.
+  /// False after a link to the node was lost, until the backoff has passed and
+  /// a new connection is established.
   bool isPathUp(const std::string &node, Instant now) const;
 
-  /// Opens a lost path anew, if that is due, so that no request has to.
+  /// Reopens a lost link once its backoff has passed, so that no request has to
+  /// wait for it.
   void reconnectIfDue(const std::string &node, const NodeView &view,
                       Instant now);
 
--- a/src/libfleet/peers/revokerelay.cpp
+++ b/src/libfleet/peers/revokerelay.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// The frame that passes a gate's reply on, or says that there is none.
+/// Builds the frame that forwards a gate's reply, or reports the gate as
+/// unreachable.
 wire::Frame frameFor(const StreamEvent &event) {
   if (const auto *answer = std::get_if<AnswerEvent>(&event.Content))
     return toFrame(answer->Answer, answer->Endpoint, answer->Load,
@@ -40,10 +41,10 @@
 
 asio::awaitable<void>
 RevokeRelay::forwardQuery(std::weak_ptr<FrameChannel> from, std::int64_t stream,
-                          wire::Revoke question) {
-  std::string attempt = question.attemptId;
-  std::string gate = question.askedNode;
-  std::optional<StreamEvent> event = co_await queryGate(std::move(question));
+                          wire::Revoke query) {
+  std::string attempt = query.attemptId;
+  std::string gate = query.askedNode;
+  std::optional<StreamEvent> event = co_await queryGate(std::move(query));
   StreamEvent reply = event ? std::move(*event) : StreamEvent{0, LostEvent{}};
   wire::Frame frame = frameFor(reply);
   logEvent(
@@ -63,23 +64,23 @@
                       std::get<AnswerEvent>(reply.Content).Answer.Content);
 }
 
-/// Nothing if the gate cannot be reached or says nothing in time.
+/// Returns nullopt if the gate is unreachable or does not reply in time.
 asio::awaitable<std::optional<StreamEvent>>
-RevokeRelay::queryGate(wire::Revoke question) {
-  Instant until = now() + Millis(question.timeoutMs);
-  auto gate = View->Nodes.find(question.askedNode);
+RevokeRelay::queryGate(wire::Revoke query) {
+  Instant until = now() + Millis(query.timeoutMs);
+  auto gate = View->Nodes.find(query.askedNode);
   if (gate == View->Nodes.end())
     co_return std::nullopt;
   NodeView view = gate->second;
-  auto client = co_await Links.connect(question.askedNode, view, until);
+  auto client = co_await Links.connect(query.askedNode, view, until);
   if (!client)
     co_return std::nullopt;
   auto box = std::make_shared<StreamMailbox>(Executor);
   wire::Frame frame;
   frame.stream = client->open(box, 0);
   std::int64_t stream = frame.stream;
-  question.askedNode.clear();
-  frame.__set_revoke(question);
+  query.askedNode.clear();
+  frame.__set_revoke(query);
   client->channel().send(std::move(frame));
   std::optional<StreamEvent> event = co_await box->next(until);
   client->closeStream(stream);
--- a/src/libfleet/peers/revokerelay.h
+++ b/src/libfleet/peers/revokerelay.h
@@ -13,8 +13,8 @@
 
 class PeerLinks;
 
-/// Asks gates what became of attempts, for nodes that have lost their own path
-/// to them.
+/// Queries gates for the outcomes of attempts on behalf of nodes that have lost
+/// their own path to the gate.
 class RevokeRelay {
 public:
   RevokeRelay(asio::any_io_executor ex, PeerLinks &links);
@@ -26,9 +26,8 @@
 
 private:
   asio::awaitable<void> forwardQuery(std::weak_ptr<FrameChannel> from,
-                                     std::int64_t stream,
-                                     wire::Revoke question);
-  asio::awaitable<std::optional<StreamEvent>> queryGate(wire::Revoke question);
+                                     std::int64_t stream, wire::Revoke query);
+  asio::awaitable<std::optional<StreamEvent>> queryGate(wire::Revoke query);
 
   asio::any_io_executor Executor;
   PeerLinks &Links;
--- a/src/libfleet/peers/wireconvert.h
+++ b/src/libfleet/peers/wireconvert.h
@@ -11,20 +11,20 @@
 
 namespace hickoryglade::fleet {
 
-/// How a node introduces itself on a link.
+/// Builds the hello frame with which a node identifies itself on a link.
 wire::Hello makeHello(const std::string &node, std::int64_t bootId,
                       const std::string &dataCentre);
 
 wire::Gossip toWire(const GossipMessage &message);
-/// Gives nothing if a value is out of range.
+/// Returns nullopt if a value is out of range.
 std::optional<GossipMessage> fromWire(const wire::Gossip &gossip);
 
 wire::StandingReport toWire(const StandingReport &report);
-/// Gives nothing for a standing that does not exist.
+/// Returns nullopt for an unknown standing.
 std::optional<StandingReport> fromWire(const wire::StandingReport &report);
 
 wire::Snapshot toWire(const SettingsState &state);
-/// State of a snapshot; what does not parse is left out.
+/// Restores the state from a snapshot; skips entries that do not parse.
 SettingsState fromWire(const wire::Snapshot &snapshot);
 
 } // namespace hickoryglade::fleet
