--- a/src/libfleet/http/httpserver.cpp
+++ b/src/libfleet/http/httpserver.cpp
@@ -229,7 +229,7 @@
 }
 
 asio::awaitable<void> serve(std::shared_ptr<Session> session,
-                            HttpServer::Worker lane, HttpFaultHandler onFault,
+                            HttpServer::Worker worker, HttpFaultHandler onFault,
                             std::shared_ptr<ServerState> state,
                             std::shared_ptr<HttpLimits> limits) {
   error_code ec;
@@ -259,13 +259,13 @@
     auto scope = std::make_shared<CallScope>();
     auto isServed = std::make_shared<bool>(false);
     session->Stream.expires_never();
-    if (lane.WatchesCaller)
+    if (worker.WatchesCaller)
       watchForDisconnect(session, scope, isServed);
-    HttpResponse answer = co_await lane.Handler(std::move(request), scope);
+    HttpResponse answer = co_await worker.Handler(std::move(request), scope);
     *isServed = true;
     if (scope->IsCancelled)
       break;
-    if (lane.WatchesCaller)
+    if (worker.WatchesCaller)
       session->Stream.socket().cancel(ec);
     isKept = isKept && !state->IsStopping;
     co_await writeResponse(session, answer, method, isKept, ec);
@@ -279,9 +279,9 @@
 } // namespace
 
 HttpServer::HttpServer(asio::any_io_executor ex, std::string address,
-                       std::vector<Lane> lanes, HttpFaultHandler onFault)
+                       std::vector<Worker> workers, HttpFaultHandler onFault)
     : Executor(ex), Address(std::move(address)), Acceptor(ex),
-      Lanes(std::move(lanes)), OnFault(std::move(onFault)),
+      Workers(std::move(workers)), OnFault(std::move(onFault)),
       State(std::make_shared<ServerState>()) {}
 
 absl::Status HttpServer::listen() { return takeAddress(Acceptor, Address); }
@@ -301,11 +301,11 @@
   Acceptor.cancel(ec);
   Acceptor.non_blocking(true, ec);
   while (!ec) {
-    Lane &lane = Lanes[NextLane++ % Lanes.size()];
-    tcp::socket socket(lane.Executor);
+    Worker &worker = Workers[NextWorker++ % Workers.size()];
+    tcp::socket socket(worker.Executor);
     Acceptor.accept(socket, ec);
     if (!ec)
-      serveNext(lane, std::move(socket));
+      serveNext(worker, std::move(socket));
   }
   Acceptor.close(ec);
   // A request on an idle connection might come too late to be finished.
@@ -318,24 +318,25 @@
   return State->Busy > 0 || now() - AcceptedAt < NewConnectionGrace;
 }
 
-void HttpServer::serveNext(Lane &lane, tcp::socket socket) {
+void HttpServer::serveNext(Worker &worker, tcp::socket socket) {
   AcceptedAt = now();
   auto session = std::make_shared<Session>(
       Session{beast::tcp_stream(std::move(socket)), {}});
-  asio::co_spawn(lane.Executor, serve(session, lane, OnFault, State, Limits),
+  asio::co_spawn(worker.Executor,
+                 serve(session, worker, OnFault, State, Limits),
                  asio::detached);
 }
 
 void HttpServer::accept() {
-  Lane &lane = Lanes[NextLane++ % Lanes.size()];
-  Acceptor.async_accept(
-      lane.Executor, [this, &lane](const error_code &ec, tcp::socket socket) {
-        if (ec == asio::error::operation_aborted)
-          return;
-        if (!ec)
-          serveNext(lane, std::move(socket));
-        accept();
-      });
+  Worker &worker = Workers[NextWorker++ % Workers.size()];
+  Acceptor.async_accept(worker.Executor, [this, &worker](const error_code &ec,
+                                                         tcp::socket socket) {
+    if (ec == asio::error::operation_aborted)
+      return;
+    if (!ec)
+      serveNext(worker, std::move(socket));
+    accept();
+  });
 }
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/http/httpserver.h
+++ b/src/libfleet/http/httpserver.h
@@ -37,7 +37,7 @@
 /// executor must be run by one thread.
 class HttpServer {
 public:
-  struct Lane {
+  struct Worker {
     asio::any_io_executor Executor;
     HttpHandler Handler;
     /// Tells the handler's scope when the caller leaves before its answer.
@@ -45,7 +45,7 @@
   };
 
   HttpServer(asio::any_io_executor ex, std::string address,
-             std::vector<Lane> lanes, HttpFaultHandler onFault);
+             std::vector<Worker> workers, HttpFaultHandler onFault);
 
   HttpLimits &limits() { return *Limits; }
 
@@ -73,15 +73,15 @@
   asio::any_io_executor Executor;
   std::string Address;
   tcp::acceptor Acceptor;
-  std::vector<Lane> Lanes;
+  std::vector<Worker> Workers;
   HttpFaultHandler OnFault;
-  void serveNext(Lane &lane, tcp::socket socket);
+  void serveNext(Worker &worker, tcp::socket socket);
 
   /// What the front shares with its connections.
   std::shared_ptr<ServerState> State;
   Instant AcceptedAt;
   std::shared_ptr<HttpLimits> Limits = std::make_shared<HttpLimits>();
-  std::size_t NextLane = 0;
+  std::size_t NextWorker = 0;
 };
 
 } // namespace hickoryglade::fleet
