--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -60,10 +60,10 @@
 
 /// True for a response that goes to the caller as it is. A server error is
 /// retried first if the request is idempotent.
-bool isFinalAnswer(const EntryResult &result, bool isIdempotent) {
+bool isFinalResponse(const EntryResult &result, bool isIdempotent) {
   constexpr int leastServerError = 500;
-  const auto *answer = std::get_if<HttpResponse>(&result);
-  return answer && (!isIdempotent || answer->Status < leastServerError);
+  const auto *response = std::get_if<HttpResponse>(&result);
+  return response && (!isIdempotent || response->Status < leastServerError);
 }
 
 } // namespace
@@ -109,25 +109,25 @@
       result = co_await perform(context);
     timeLeft = context.Deadline - now();
   }
-  HttpResponse answer;
+  HttpResponse response;
   if (auto *error = std::get_if<Error>(&result))
-    answer = problem(*error, id, timeLeft);
+    response = problem(*error, id, timeLeft);
   else
-    answer = std::move(std::get<HttpResponse>(result));
+    response = std::move(std::get<HttpResponse>(result));
   const std::string &shownId = Dialect.IsIdFromCaller ? callerId : id;
-  if (headerValue(answer.Headers, Dialect.RequestIdHeader).empty())
-    answer.Headers.push_back({Dialect.RequestIdHeader, shownId});
+  if (headerValue(response.Headers, Dialect.RequestIdHeader).empty())
+    response.Headers.push_back({Dialect.RequestIdHeader, shownId});
   --InFlight;
   logEvent(LogLevel::Info, "answered",
            {{"request", id},
             {"caller_id", callerId},
             {"service", service},
-            {"status", answer.Status},
+            {"status", response.Status},
             {"ms", toMillis(now() - start).count()},
             {"own", std::holds_alternative<Error>(result)}});
-  Counters.countAnswer(service, answer.Status,
+  Counters.countAnswer(service, response.Status,
                        std::chrono::duration<double>(now() - start).count());
-  co_return answer;
+  co_return response;
 }
 
 /// The caller's timeout, or the configured default, capped at the route's
@@ -213,13 +213,13 @@
   std::optional<HttpResponse> failure;
   for (int number = 1;; ++number) {
     EntryResult result = co_await tryOnce(context, number);
-    if (isFinalAnswer(result, context.IsIdempotent))
+    if (isFinalResponse(result, context.IsIdempotent))
       co_return result;
     bool isErrorResponse = std::holds_alternative<HttpResponse>(result);
     if (isErrorResponse && !errors.tryTake())
       co_return result;
-    if (auto *answer = std::get_if<HttpResponse>(&result)) {
-      failure = std::move(*answer);
+    if (auto *response = std::get_if<HttpResponse>(&result)) {
+      failure = std::move(*response);
       ++context.Arrivals;
       result = makeError(ErrorKind::EndpointFailed,
                          "answered " + std::to_string(failure->Status));
@@ -430,26 +430,27 @@
                             Micros timeLeft) {
   const ErrorAnswer &row = answerFor(error.Kind);
   Counters.countError(std::string(row.Name));
-  HttpResponse answer;
-  answer.Status = statusOf(error);
-  json body = {{"type", "about:blank"},   {"title", row.Title},
-               {"status", answer.Status}, {"detail", error.Detail},
-               {"kind", row.Name},        {"run", toString(error.Run)},
+  HttpResponse response;
+  response.Status = statusOf(error);
+  json body = {{"type", "about:blank"},     {"title", row.Title},
+               {"status", response.Status}, {"detail", error.Detail},
+               {"kind", row.Name},          {"run", toString(error.Run)},
                {"request_id", id}};
   if (row.IsRetryable && error.Run == RunState::NotRun) {
     Millis wait = retryAdvice(error.RetryAfter, toMillis(timeLeft), Rng);
     body["retry_after_ms"] = wait.count();
-    answer.Headers.push_back({"Retry-After", formatRetryAfter(Dialect, wait)});
+    response.Headers.push_back(
+        {"Retry-After", formatRetryAfter(Dialect, wait)});
   }
-  answer.Headers.push_back({"Content-Type", "application/problem+json"});
-  answer.Content = std::make_shared<const std::string>(
+  response.Headers.push_back({"Content-Type", "application/problem+json"});
+  response.Content = std::make_shared<const std::string>(
       body.dump(-1, ' ', false, json::error_handler_t::replace));
   logEvent(LogLevel::Warn, "problem",
            {{"request", id},
             {"kind", row.Name},
             {"run", toString(error.Run)},
             {"detail", error.Detail}});
-  return answer;
+  return response;
 }
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -62,15 +62,15 @@
 }
 
 HttpResponse fromBeast(http::response<http::string_body> &&in) {
-  HttpResponse answer;
-  answer.Status = int(in.result_int());
+  HttpResponse response;
+  response.Status = int(in.result_int());
   for (const auto &field : in)
     if (!isHopByHop(std::string_view(field.name_string().data(),
                                      field.name_string().size())))
-      answer.Headers.push_back(
+      response.Headers.push_back(
           {std::string(field.name_string()), std::string(field.value())});
-  answer.Content = std::make_shared<const std::string>(std::move(in.body()));
-  return answer;
+  response.Content = std::make_shared<const std::string>(std::move(in.body()));
+  return response;
 }
 
 /// True if the end of the response is known from its head. A body delimited by
@@ -181,17 +181,17 @@
                    kind, RunState::Unknown, std::move(detail));
 }
 
-EndpointResult EndpointClient::classifyResponse(HttpResponse answer) const {
+EndpointResult EndpointClient::classifyResponse(HttpResponse response) const {
   constexpr int misdirected = 421;
-  if (answer.Status == misdirected && Dialect.IsNotRun(answer))
+  if (response.Status == misdirected && Dialect.IsNotRun(response))
     return failed(AttemptOutcome::Unreachable, ErrorKind::WrongGeneration,
                   RunState::NotRun, "another endpoint has the address");
-  if (Dialect.IsNotRun(answer))
+  if (Dialect.IsNotRun(response))
     return failed(AttemptOutcome::Shed, ErrorKind::EndpointShed,
                   RunState::NotRun, "the endpoint sheds load");
-  AttemptOutcome outcome = answer.Status >= 500 ? AttemptOutcome::ServerError
-                                                : AttemptOutcome::Answered;
-  return EndpointResult{outcome, std::move(answer), {}, Micros{0}};
+  AttemptOutcome outcome = response.Status >= 500 ? AttemptOutcome::ServerError
+                                                  : AttemptOutcome::Answered;
+  return EndpointResult{outcome, std::move(response), {}, Micros{0}};
 }
 
 /// Reads responses until one belongs to the request: late responses to earlier
@@ -228,8 +228,8 @@
                                               : ErrorKind::EndpointFailed,
                                       ec.message());
     bool isKept = parser.keep_alive() && isFramed && *isWritten;
-    HttpResponse answer = fromBeast(parser.release());
-    ResponseMatch match = matchResponse(Dialect, answer, id);
+    HttpResponse response = fromBeast(parser.release());
+    ResponseMatch match = matchResponse(Dialect, response, id);
     if (match == ResponseMatch::Late && isKept) {
       isInOrder = false;
       continue;
@@ -238,9 +238,9 @@
       co_return failed(AttemptOutcome::Failed, ErrorKind::EndpointFailed,
                        RunState::Unknown, "the answer is not the endpoint's");
     if (isKept && isInOrder && connection->Buffer.size() == 0 &&
-        repeatsId(Dialect, answer, id))
+        repeatsId(Dialect, response, id))
       putIdle(call.Address, connection);
-    co_return classifyResponse(std::move(answer));
+    co_return classifyResponse(std::move(response));
   }
 }
 
--- a/src/libfleet/gate/endpointclient.h
+++ b/src/libfleet/gate/endpointclient.h
@@ -61,7 +61,7 @@
   asio::awaitable<EndpointResult> readResponse(ConnectionPtr connection,
                                                const EndpointCall &call,
                                                std::shared_ptr<bool> isWritten);
-  EndpointResult classifyResponse(HttpResponse answer) const;
+  EndpointResult classifyResponse(HttpResponse response) const;
   asio::awaitable<bool> isListening(std::string address);
   asio::awaitable<EndpointResult>
   classifyLoss(std::string address, ErrorKind kind, std::string detail);
--- a/src/libfleet/http/callscope.h
+++ b/src/libfleet/http/callscope.h
@@ -4,7 +4,8 @@
 
 namespace hickoryglade::fleet {
 
-/// Tells a request's handler that its caller has gone.
+/// Cancellation state of a request. It is cancelled when the caller disconnects
+/// before the response.
 struct CallScope {
   bool IsCancelled = false;
   std::function<void()> OnCancel;
--- a/src/libfleet/http/httpclient.cpp
+++ b/src/libfleet/http/httpclient.cpp
@@ -17,8 +17,8 @@
 constexpr Millis ConnectLimit = std::chrono::seconds(1);
 constexpr std::uint64_t MaxResponseBytes = 64 * 1024 * 1024;
 
-/// A peer that does not answer keep-alive probes for about 3 s has gone
-/// silent: long polls would notice only at their end.
+/// TCP keep-alive probes detect an unreachable server within about 3 s. A long
+/// poll would notice it only when it times out.
 constexpr int KeepAliveIdleSeconds = 1;
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbes = 2;
@@ -96,16 +96,16 @@
     Current = nullptr;
     co_return std::nullopt;
   }
-  HttpResponse answer;
-  answer.Status = int(parser.get().result_int());
+  HttpResponse response;
+  response.Status = int(parser.get().result_int());
   for (const auto &field : parser.get())
-    answer.Headers.push_back(
+    response.Headers.push_back(
         {std::string(field.name_string()), std::string(field.value())});
-  answer.Content =
+  response.Content =
       std::make_shared<const std::string>(std::move(parser.get().body()));
   if (!parser.keep_alive())
     Current = nullptr;
-  co_return answer;
+  co_return response;
 }
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/http/httpclient.h
+++ b/src/libfleet/http/httpclient.h
@@ -10,7 +10,8 @@
 
 namespace hickoryglade::fleet {
 
-/// Calls one HTTP server over a kept connection, one call at a time.
+/// HTTP client for one server. Keeps its connection open and sends one request
+/// at a time.
 class HttpClient {
 public:
   HttpClient(asio::any_io_executor ex, std::string address);
@@ -18,8 +19,9 @@
 
   const std::string &address() const { return Address; }
 
-  /// Gives nothing if no whole answer came within the limit. The call may have
-  /// taken effect all the same. The connection is not used again then.
+  /// Returns nullopt if no complete response arrives within the limit. The
+  /// server may have executed the request nevertheless. The connection is not
+  /// reused in this case.
   asio::awaitable<std::optional<HttpResponse>> call(std::string method,
                                                     std::string target,
                                                     std::string content,
--- a/src/libfleet/http/httpdialect.cpp
+++ b/src/libfleet/http/httpdialect.cpp
@@ -13,9 +13,9 @@
 constexpr double MillisPerSecond = 1'000;
 constexpr int ServiceUnavailable = 503;
 
-bool isDefaultNotRun(const HttpResponse &answer) {
-  return answer.Status == ServiceUnavailable &&
-         headerValue(answer.Headers, "Endpoint-Shed") == "not-run";
+bool isDefaultNotRun(const HttpResponse &response) {
+  return response.Status == ServiceUnavailable &&
+         headerValue(response.Headers, "Endpoint-Shed") == "not-run";
 }
 
 HttpDialect makeDefaultDialect() {
@@ -24,7 +24,9 @@
   return dialect;
 }
 
-bool isSuccess(const HttpResponse &answer) { return answer.Status / 100 == 2; }
+bool isSuccess(const HttpResponse &response) {
+  return response.Status / 100 == 2;
+}
 
 } // namespace
 
@@ -34,23 +36,23 @@
 }
 
 ResponseMatch matchResponse(const HttpDialect &dialect,
-                            const HttpResponse &answer,
+                            const HttpResponse &response,
                             const std::string &requestId) {
-  std::string id = headerValue(answer.Headers, dialect.RequestIdHeader);
+  std::string id = headerValue(response.Headers, dialect.RequestIdHeader);
   if (!id.empty() && id != requestId)
     return ResponseMatch::Late;
   if (!dialect.IsIdFromCaller)
     return ResponseMatch::Own;
-  bool hasProof = !headerValue(answer.Headers, dialect.ProofHeader).empty();
-  bool isEncoded = !headerValue(answer.Headers, "Content-Encoding").empty();
-  if (id.empty() || isEncoded || (isSuccess(answer) && !hasProof))
+  bool hasProof = !headerValue(response.Headers, dialect.ProofHeader).empty();
+  bool isEncoded = !headerValue(response.Headers, "Content-Encoding").empty();
+  if (id.empty() || isEncoded || (isSuccess(response) && !hasProof))
     return ResponseMatch::Unusable;
   return ResponseMatch::Own;
 }
 
-bool repeatsId(const HttpDialect &dialect, const HttpResponse &answer,
+bool repeatsId(const HttpDialect &dialect, const HttpResponse &response,
                const std::string &requestId) {
-  return headerValue(answer.Headers, dialect.RequestIdHeader) == requestId;
+  return headerValue(response.Headers, dialect.RequestIdHeader) == requestId;
 }
 
 std::string formatRetryAfter(const HttpDialect &dialect, Millis wait) {
--- a/src/libfleet/http/httpdialect.h
+++ b/src/libfleet/http/httpdialect.h
@@ -9,58 +9,60 @@
 
 namespace hickoryglade::fleet {
 
-/// Names and forms of what a node says to callers and endpoints beside the
-/// requests and answers themselves. An empty name means that it is not said.
+/// Header names and conventions that a node uses towards callers and endpoints.
+/// A header whose name is empty is not used.
 struct HttpDialect {
-  /// Carries the request's id in answers to callers.
+  /// Carries the request id in responses to callers.
   std::string RequestIdHeader = "Request-Id";
-  /// True if callers choose the id, which then goes to the endpoint as it is,
-  /// and endpoints repeat it in their answers.
+  /// True if callers set the request id, which is forwarded unchanged, and
+  /// endpoints repeat it in their responses.
   bool IsIdFromCaller = false;
-  /// Time that a caller allows, in milliseconds.
+  /// The caller's timeout in milliseconds.
   std::string TimeoutHeader = "Request-Timeout-Ms";
   /// Time left when the request is sent to the endpoint, in milliseconds.
   std::string DeadlineHeader = "Request-Deadline-Ms";
   /// Name of the endpoint that is to run the request.
   std::string ExpectedEndpointHeader;
-  /// Service on whose VM the request began.
+  /// Service on whose VM the caller runs.
   std::string CallerServiceHeader;
-  /// Present in every answer that an endpoint has made to a request that it
-  /// ran to a good end.
+  /// Present in every response of an endpoint to a request that it executed
+  /// successfully.
   std::string ProofHeader;
-  /// True if an answer's body may end with its connection.
+  /// True if a response body may be delimited by the end of its connection.
   bool MayLackLength = false;
   /// True if Retry-After may hold fractions of a second.
   bool IsRetryAfterFractional = false;
-  /// True for an endpoint's answer that says that it has not run the request.
-  bool (*IsNotRun)(const HttpResponse &answer) = nullptr;
+  /// True for a response in which an endpoint reports that it has not run the
+  /// request.
+  bool (*IsNotRun)(const HttpResponse &response) = nullptr;
 };
 
-/// The product's own dialect, see docs/CONTRACT.md.
+/// The product's default dialect, see docs/CONTRACT.md.
 const HttpDialect &defaultDialect();
 
-/// Whether an answer read from an endpoint's connection belongs to a request.
+/// Whether a response read from an endpoint's connection belongs to a request.
 enum class ResponseMatch {
   Own,
-  /// A late answer to an earlier request.
+  /// A late response to an earlier request.
   Late,
-  /// Not what a sound endpoint would say.
+  /// A response that a correct endpoint would not send.
   Unusable,
 };
 
 ResponseMatch matchResponse(const HttpDialect &dialect,
-                            const HttpResponse &answer,
+                            const HttpResponse &response,
                             const std::string &requestId);
 
-/// True if an answer repeats the request's id. Only then may its connection be
-/// used again: a late second copy of it could not be told from the next answer.
-bool repeatsId(const HttpDialect &dialect, const HttpResponse &answer,
+/// True if a response repeats the request id. Only then may its connection be
+/// reused: without an id, a late duplicate could not be distinguished from the
+/// next response.
+bool repeatsId(const HttpDialect &dialect, const HttpResponse &response,
                const std::string &requestId);
 
 /// Value of a Retry-After header.
 std::string formatRetryAfter(const HttpDialect &dialect, Millis wait);
 
-/// Drops the headers that only a node may set.
+/// Removes the headers that only a node may set.
 void dropNodeHeaders(const HttpDialect &dialect,
                      std::vector<HttpHeader> &headers);
 
--- a/src/libfleet/http/httpmessage.h
+++ b/src/libfleet/http/httpmessage.h
@@ -13,7 +13,7 @@
   bool operator==(const HttpHeader &) const = default;
 };
 
-/// Bodies are shared, not copied, on their way through the node.
+/// Bodies are shared, not copied, between the components of a node.
 using Body = std::shared_ptr<const std::string>;
 
 struct HttpRequest {
@@ -29,11 +29,12 @@
   Body Content = std::make_shared<const std::string>();
 };
 
-/// First header of a name, in any case; empty if there is none.
+/// Value of the first header with this name, compared without regard to case;
+/// empty if there is none.
 std::string headerValue(const std::vector<HttpHeader> &headers,
                         std::string_view name);
 
-/// True for headers that concern one connection only (RFC 9110, 7.6.1).
+/// True for headers that apply to one connection only (RFC 9110, 7.6.1).
 bool isHopByHop(std::string_view name);
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/http/httpserver.cpp
+++ b/src/libfleet/http/httpserver.cpp
@@ -18,17 +18,18 @@
 
 namespace {
 
-/// Longest time for the body of a request, and for writing an answer.
+/// Time limits for reading the body of a request and for writing a response.
 constexpr auto BodyLimit = std::chrono::seconds(30);
 constexpr auto WriteLimit = std::chrono::seconds(30);
 
 constexpr std::size_t ReadBytes = 8 * 1024;
 
-/// What is read of a request that has been refused.
+/// Limits on reading and discarding the rest of a rejected request.
 constexpr auto DiscardLimit = std::chrono::seconds(2);
 constexpr std::size_t MaxDiscardedBytes = 64 * 1024 * 1024;
 
-/// Time in which the request that a connection was opened for has come.
+/// A new connection counts as busy for this long, because its first request may
+/// still be in flight.
 constexpr Micros NewConnectionGrace = std::chrono::milliseconds(200);
 
 /// One caller's connection.
@@ -41,16 +42,17 @@
 
 struct ServerState {
   std::atomic<bool> IsStopping = false;
-  /// Requests from their first byte to the last of their answer.
+  /// Number of requests between their first byte and the last byte of their
+  /// response.
   std::atomic<int> Busy = 0;
   std::mutex Lock;
-  /// Connections that have been answered and wait for another request.
+  /// Keep-alive connections that wait for another request.
   std::set<std::shared_ptr<Session>> Idle;
 };
 
 namespace {
 
-/// Lists a connection as idle for as long as it lives.
+/// Lists a connection as idle during the lifetime of the guard.
 class IdleGuard {
 public:
   IdleGuard(std::shared_ptr<ServerState> state,
@@ -71,7 +73,7 @@
   std::shared_ptr<Session> Caller;
 };
 
-/// Counts a request for as long as it lives.
+/// Counts a request as busy during the lifetime of the guard.
 class BusyGuard {
 public:
   explicit BusyGuard(std::shared_ptr<ServerState> state)
@@ -98,26 +100,26 @@
 }
 
 http::response<http::string_body>
-toBeast(const HttpResponse &answer, const std::string &method, bool isKept) {
+toBeast(const HttpResponse &response, const std::string &method, bool isKept) {
   http::response<http::string_body> out;
   out.version(11);
-  out.result(unsigned(answer.Status));
-  for (const HttpHeader &it : answer.Headers)
+  out.result(unsigned(response.Status));
+  for (const HttpHeader &it : response.Headers)
     out.insert(it.Name, it.Value);
   out.keep_alive(isKept);
-  bool hasNoBody = answer.Status == 204 || answer.Status == 304;
+  bool hasNoBody = response.Status == 204 || response.Status == 304;
   if (hasNoBody)
     return out;
   if (method == "HEAD") {
-    out.content_length(answer.Content->size());
+    out.content_length(response.Content->size());
     return out;
   }
-  out.body() = *answer.Content;
+  out.body() = *response.Content;
   out.prepare_payload();
   return out;
 }
 
-/// Status for bytes that the parser has refused; 0 if the caller just left.
+/// HTTP status for an error in reading a request; 0 if the caller disconnected.
 int faultStatus(const error_code &ec) {
   if (ec == http::error::end_of_stream)
     return 0;
@@ -132,7 +134,7 @@
   return 0;
 }
 
-/// Watches for the caller's leaving while its request is served.
+/// Cancels the scope if the caller disconnects while its request is served.
 void watchForDisconnect(const std::shared_ptr<Session> &session,
                         const std::shared_ptr<CallScope> &scope,
                         const std::shared_ptr<bool> &isServed) {
@@ -151,10 +153,10 @@
 }
 
 asio::awaitable<void> writeResponse(std::shared_ptr<Session> session,
-                                    const HttpResponse &answer,
+                                    const HttpResponse &response,
                                     std::string method, bool isKept,
                                     error_code &ec) {
-  auto message = toBeast(answer, method, isKept);
+  auto message = toBeast(response, method, isKept);
   http::response_serializer<http::string_body> serializer(message);
   serializer.split(method == "HEAD");
   session->Stream.expires_after(WriteLimit);
@@ -167,8 +169,8 @@
                                asio::redirect_error(asio::use_awaitable, ec));
 }
 
-/// Waits for the first bytes of a request; false if the caller has left or
-/// stays idle.
+/// Waits for the first bytes of a request; returns false if the caller
+/// disconnects or stays idle.
 asio::awaitable<bool> awaitRequest(std::shared_ptr<Session> session,
                                    Millis idleLimit) {
   if (session->Buffer.size() > 0)
@@ -182,8 +184,9 @@
   co_return !ec;
 }
 
-/// Reads what a refused caller still sends, so that closing the connection does
-/// not reset it before the caller has read the answer.
+/// Reads and discards the rest of a rejected request. Closing a socket with
+/// unread data would reset the connection before the caller has read the
+/// response.
 asio::awaitable<void> discardRest(std::shared_ptr<Session> session) {
   error_code ec;
   session->Stream.socket().shutdown(tcp::socket::shutdown_send, ec);
@@ -204,7 +207,8 @@
                                   const HttpLimits &limits, error_code &ec) {
   parser.header_limit(limits.HeaderBytes);
   parser.body_limit(limits.BodyBytes.load());
-  // The stream's own expiry would close the connection before it is answered.
+  // The stream's own timeout would close the connection before the error
+  // response is written.
   session->Stream.expires_never();
   auto isLate = std::make_shared<bool>(false);
   asio::steady_timer timer(session->Stream.get_executor(),
@@ -261,14 +265,14 @@
     session->Stream.expires_never();
     if (worker.WatchesCaller)
       watchForDisconnect(session, scope, isServed);
-    HttpResponse answer = co_await worker.Handler(std::move(request), scope);
+    HttpResponse response = co_await worker.Handler(std::move(request), scope);
     *isServed = true;
     if (scope->IsCancelled)
       break;
     if (worker.WatchesCaller)
       session->Stream.socket().cancel(ec);
     isKept = isKept && !state->IsStopping;
-    co_await writeResponse(session, answer, method, isKept, ec);
+    co_await writeResponse(session, response, method, isKept, ec);
     if (ec || !isKept)
       break;
   }
@@ -297,7 +301,7 @@
 void HttpServer::stop() {
   State->IsStopping = true;
   error_code ec;
-  // Closing would reset those that wait to be accepted.
+  // Closing the acceptor would reset the connections that are pending.
   Acceptor.cancel(ec);
   Acceptor.non_blocking(true, ec);
   while (!ec) {
@@ -308,7 +312,7 @@
       serveNext(worker, std::move(socket));
   }
   Acceptor.close(ec);
-  // A request on an idle connection might come too late to be finished.
+  // A request on an idle connection might arrive too late to be completed.
   std::lock_guard lock(State->Lock);
   for (const std::shared_ptr<Session> &it : State->Idle)
     asio::post(it->Stream.get_executor(), [it] { it->Stream.cancel(); });
--- a/src/libfleet/http/httpserver.h
+++ b/src/libfleet/http/httpserver.h
@@ -16,14 +16,14 @@
 
 namespace hickoryglade::fleet {
 
-/// Answers one request. The scope tells when the caller has gone.
+/// Handles one request. The scope is cancelled if the caller disconnects.
 using HttpHandler = std::function<asio::awaitable<HttpResponse>(
     HttpRequest, std::shared_ptr<CallScope>)>;
 
-/// Builds the answer to bytes that are not an acceptable request.
+/// Builds the error response to a request that could not be read.
 using HttpFaultHandler = std::function<HttpResponse(int status)>;
 
-/// What a front allows its callers; may change while it runs.
+/// Limits on requests and connections; may change while the server runs.
 struct HttpLimits {
   std::atomic<std::uint32_t> HeaderBytes = 32 * 1024;
   std::atomic<std::uint64_t> BodyBytes = 64 * 1024 * 1024;
@@ -33,14 +33,15 @@
 
 struct ServerState;
 
-/// Accepts HTTP/1.1 connections and shares them out between executors. Each
-/// executor must be run by one thread.
+/// HTTP/1.1 server that distributes its connections over workers in turn. Each
+/// worker's executor must be run by one thread.
 class HttpServer {
 public:
   struct Worker {
     asio::any_io_executor Executor;
     HttpHandler Handler;
-    /// Tells the handler's scope when the caller leaves before its answer.
+    /// Cancels the handler's scope if the caller disconnects before the
+    /// response.
     bool WatchesCaller = true;
   };
 
@@ -49,22 +50,22 @@
 
   HttpLimits &limits() { return *Limits; }
 
-  /// Takes the address; fails if it cannot be had.
+  /// Binds the address; fails if it is not available.
   absl::Status listen();
 
-  /// Begins to accept connections.
+  /// Starts to accept connections.
   void start();
 
-  /// Open connections close after their next answer; new ones are taken for
-  /// one request.
+  /// Closes open connections after their next response. New connections are
+  /// accepted for one request each.
   void beginDrain();
 
-  /// Takes the connections that have come and no more; idle ones are closed,
-  /// the others after their answer.
+  /// Accepts the connections that are pending and no more. Closes idle
+  /// connections at once and the others after their response.
   void stop();
 
   /// True while a request is being read, served or answered, or a connection is
-  /// so new that its request may be on the way.
+  /// so new that its first request may be in flight.
   bool isBusy() const;
 
 private:
@@ -77,7 +78,7 @@
   HttpFaultHandler OnFault;
   void serveNext(Worker &worker, tcp::socket socket);
 
-  /// What the front shares with its connections.
+  /// State shared with the connections.
   std::shared_ptr<ServerState> State;
   Instant AcceptedAt;
   std::shared_ptr<HttpLimits> Limits = std::make_shared<HttpLimits>();
