--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -19,24 +19,25 @@
 
 using nlohmann::json;
 
-/// How long a request waits for its service to have a candidate.
-constexpr Micros CandidatePatience = std::chrono::milliseconds(200);
+/// How long a request waits until its service has a candidate gate.
+constexpr Micros CandidateWait = std::chrono::milliseconds(200);
 
-/// A gate's report older than this says nothing any more.
-constexpr Micros LoadTerm = std::chrono::milliseconds(500);
+/// A gate's load report older than this is ignored.
+constexpr Micros LoadReportMaxAge = std::chrono::milliseconds(500);
 
-/// Part of its target latency that a class of requests is taken to need until
-/// one has been seen: operators set targets to a few times the usual run time.
-constexpr int UnseenCostPart = 3;
+/// Until a request of a class has been observed, its expected cost is the
+/// target latency divided by this: operators set targets to a few times the
+/// usual run time.
+constexpr int UnknownCostDivisor = 3;
 
-/// How long a gate's word on its endpoint's standing counts: a doubtful
-/// endpoint rests for about as long.
-constexpr Micros ReportedStandingTerm = std::chrono::seconds(1);
+/// How long the standing that a gate reported for its endpoints is used: a
+/// doubtful endpoint gets no requests for about as long.
+constexpr Micros ReportedStandingMaxAge = std::chrono::seconds(1);
 
-/// Between tries of a request that a stopping node still has to place.
-constexpr Micros OwedTryPause = std::chrono::milliseconds(100);
+/// Pause between the retries that mayRetryDuringDrain() allows.
+constexpr Micros DrainRetryPause = std::chrono::milliseconds(100);
 
-constexpr std::size_t MostKeyBytes = 255;
+constexpr std::size_t MaxKeyBytes = 255;
 constexpr Millis LongestTimeout = std::chrono::hours(24);
 
 std::optional<Millis> parseTimeout(const std::string &text) {
@@ -57,11 +58,12 @@
   return hash;
 }
 
-/// An endpoint's report of a failure is worth another try where that is safe.
-bool isFinalAnswer(const EntryResult &result, bool isIdempotent) {
+/// True for a response that goes to the caller as it is. A server error is
+/// retried first if the request is idempotent.
+bool isFinalResponse(const EntryResult &result, bool isIdempotent) {
   constexpr int leastServerError = 500;
-  const auto *answer = std::get_if<HttpAnswer>(&result);
-  return answer && (!isIdempotent || answer->Status < leastServerError);
+  const auto *response = std::get_if<HttpResponse>(&result);
+  return response && (!isIdempotent || response->Status < leastServerError);
 }
 
 } // namespace
@@ -83,52 +85,53 @@
   return fingerprintName(hash) + "-" + std::to_string(++Requests);
 }
 
-asio::awaitable<HttpAnswer> Entry::serve(HttpRequest request,
-                                         std::shared_ptr<CallScope> scope) {
+asio::awaitable<HttpResponse> Entry::serve(HttpRequest request,
+                                           std::shared_ptr<CallScope> scope) {
   Instant start = now();
   std::string id = nextId();
   std::string callerId = headerValue(request.Headers, Dialect.RequestIdHeader);
   ++InFlight;
   std::string service;
   Micros timeLeft{0};
-  std::variant<Inquiry, Error> examined =
-      examine(std::move(request), std::move(scope), id);
+  std::variant<RequestContext, Error> prepared =
+      prepareRequest(std::move(request), std::move(scope), id);
   EntryResult result = Error{};
-  if (auto *fault = std::get_if<Error>(&examined)) {
+  if (auto *fault = std::get_if<Error>(&prepared)) {
     result = *fault;
   } else {
-    Inquiry &inquiry = std::get<Inquiry>(examined);
-    service = inquiry.Way.Service;
+    RequestContext &context = std::get<RequestContext>(prepared);
+    service = context.MatchedRoute.Service;
     bool isKeyed =
-        HasKeepers && !inquiry.IsIdempotent && !inquiry.IdempotencyKey.empty();
+        HasKeepers && !context.IsIdempotent && !context.IdempotencyKey.empty();
     if (isKeyed)
-      result = co_await performKeyed(inquiry);
+      result = co_await performKeyed(context);
     else
-      result = co_await perform(inquiry);
-    timeLeft = inquiry.Deadline - now();
+      result = co_await perform(context);
+    timeLeft = context.Deadline - now();
   }
-  HttpAnswer answer;
+  HttpResponse response;
   if (auto *error = std::get_if<Error>(&result))
-    answer = problem(*error, id, timeLeft);
+    response = problem(*error, id, timeLeft);
   else
-    answer = std::move(std::get<HttpAnswer>(result));
+    response = std::move(std::get<HttpResponse>(result));
   const std::string &shownId = Dialect.IsIdFromCaller ? callerId : id;
-  if (headerValue(answer.Headers, Dialect.RequestIdHeader).empty())
-    answer.Headers.push_back({Dialect.RequestIdHeader, shownId});
+  if (headerValue(response.Headers, Dialect.RequestIdHeader).empty())
+    response.Headers.push_back({Dialect.RequestIdHeader, shownId});
   --InFlight;
   logEvent(LogLevel::Info, "answered",
            {{"request", id},
             {"caller_id", callerId},
             {"service", service},
-            {"status", answer.Status},
+            {"status", response.Status},
             {"ms", toMillis(now() - start).count()},
             {"own", std::holds_alternative<Error>(result)}});
-  Counters.countAnswer(service, answer.Status,
+  Counters.countAnswer(service, response.Status,
                        std::chrono::duration<double>(now() - start).count());
-  co_return answer;
+  co_return response;
 }
 
-/// The caller's time or the setting's default, within the route's limit.
+/// The caller's timeout, or the configured default, capped at the route's
+/// limit.
 Millis Entry::allowedTime(const HttpRequest &request,
                           const ServicePolicy &policy,
                           std::optional<Error> &fault) const {
@@ -145,9 +148,9 @@
   return {};
 }
 
-std::variant<Inquiry, Error> Entry::examine(HttpRequest request,
-                                            std::shared_ptr<CallScope> scope,
-                                            std::string id) {
+std::variant<RequestContext, Error>
+Entry::prepareRequest(HttpRequest request, std::shared_ptr<CallScope> scope,
+                      std::string id) {
   if (!View->HasSettings)
     return makeError(ErrorKind::NoSettings, {}, DefaultRetryAfter);
   const Route *route =
@@ -163,130 +166,133 @@
   Millis timeout = allowedTime(request, policy, fault);
   if (fault)
     return *fault;
-  Inquiry inquiry;
-  inquiry.Id = std::move(id);
-  inquiry.CallerId = headerValue(request.Headers, Dialect.RequestIdHeader);
-  inquiry.Way = *route;
-  inquiry.Way.Service = Splits.choose(*route, Rng);
-  inquiry.Deadline = now() + timeout;
-  inquiry.Target = now() + policy.TargetLatency;
-  inquiry.Fingerprint = fingerprintOf(request, inquiry.Way.Service);
-  inquiry.Class = {route->Path, request.Method, std::uint64_t(bytes)};
-  inquiry.Cost = Costs.estimate(inquiry.Class, policy.LongAfter);
-  bool isUnseen = inquiry.Cost.Expected == Micros{0};
+  RequestContext context;
+  context.Id = std::move(id);
+  context.CallerId = headerValue(request.Headers, Dialect.RequestIdHeader);
+  context.MatchedRoute = *route;
+  context.MatchedRoute.Service = Splits.choose(*route, Rng);
+  context.Deadline = now() + timeout;
+  context.Target = now() + policy.TargetLatency;
+  context.Fingerprint = fingerprintOf(request, context.MatchedRoute.Service);
+  context.Class = {route->Path, request.Method, std::uint64_t(bytes)};
+  context.Cost = Costs.estimate(context.Class, policy.LongAfter);
+  bool isUnseen = context.Cost.Expected == Micros{0};
   if (isUnseen && policy.TargetLatency < policy.Timeout)
-    inquiry.Cost.Expected = policy.TargetLatency / UnseenCostPart;
-  inquiry.IsIdempotent = policy.isIdempotent(request.Method);
-  inquiry.IdempotencyKey = headerValue(request.Headers, "Idempotency-Key");
-  if (inquiry.IdempotencyKey.size() > MostKeyBytes)
+    context.Cost.Expected = policy.TargetLatency / UnknownCostDivisor;
+  context.IsIdempotent = policy.isIdempotent(request.Method);
+  context.IdempotencyKey = headerValue(request.Headers, "Idempotency-Key");
+  if (context.IdempotencyKey.size() > MaxKeyBytes)
     return makeError(ErrorKind::BadRequest, "Idempotency-Key is too long");
   dropNodeHeaders(Dialect, request.Headers);
   if (!Dialect.CallerServiceHeader.empty())
     request.Headers.push_back({Dialect.CallerServiceHeader, Service});
-  inquiry.Http = std::move(request);
-  inquiry.Scope = std::move(scope);
-  if (ruleFor(View->Crashes, inquiry.Fingerprint, now()) ==
+  context.Http = std::move(request);
+  context.Scope = std::move(scope);
+  if (ruleFor(View->Crashes, context.Fingerprint, now()) ==
       QuarantineRule::Refused)
     return makeError(ErrorKind::Quarantined,
-                     fingerprintName(inquiry.Fingerprint),
+                     fingerprintName(context.Fingerprint),
                      toMillis(remainingQuarantine(View->Crashes,
-                                                  inquiry.Fingerprint, now())));
-  return inquiry;
+                                                  context.Fingerprint, now())));
+  return context;
 }
 
-asio::awaitable<EntryResult> Entry::performKeyed(Inquiry &inquiry) {
+asio::awaitable<EntryResult> Entry::performKeyed(RequestContext &context) {
   KeyedCall call(Executor, Links, View);
-  KeyedCall::Run run = [this](Inquiry &it) { return perform(it); };
-  co_return co_await call.perform(inquiry, run);
+  KeyedCall::Run run = [this](RequestContext &it) { return perform(it); };
+  co_return co_await call.perform(context, run);
 }
 
-asio::awaitable<EntryResult> Entry::perform(Inquiry &inquiry) {
-  RetryBudget &budget = Budgets[inquiry.Way.Service];
-  budget.noteFresh(inquiry.Way.Policy.RetryBudgetPercent);
+asio::awaitable<EntryResult> Entry::perform(RequestContext &context) {
+  RetryBudget &budget = Budgets[context.MatchedRoute.Service];
+  budget.noteFresh(context.MatchedRoute.Policy.RetryBudgetPercent);
   RetryBudget &errors =
-      ErrorBudgets.try_emplace(inquiry.Way.Service, makeErrorBudget())
+      ErrorBudgets.try_emplace(context.MatchedRoute.Service, makeErrorBudget())
           .first->second;
   errors.noteFresh(ErrorRetryPercent);
   int freeTries = 0;
-  std::optional<HttpAnswer> failure;
+  std::optional<HttpResponse> failure;
   for (int number = 1;; ++number) {
-    EntryResult result = co_await tryOnce(inquiry, number);
-    if (isFinalAnswer(result, inquiry.IsIdempotent))
+    EntryResult result = co_await tryOnce(context, number);
+    if (isFinalResponse(result, context.IsIdempotent))
       co_return result;
-    bool isReport = std::holds_alternative<HttpAnswer>(result);
-    if (isReport && !errors.tryTake())
+    bool isErrorResponse = std::holds_alternative<HttpResponse>(result);
+    if (isErrorResponse && !errors.tryTake())
       co_return result;
-    if (auto *answer = std::get_if<HttpAnswer>(&result)) {
-      failure = std::move(*answer);
-      ++inquiry.Arrivals;
+    if (auto *response = std::get_if<HttpResponse>(&result)) {
+      failure = std::move(*response);
+      ++context.Arrivals;
       result = makeError(ErrorKind::EndpointFailed,
                          "answered " + std::to_string(failure->Status));
     }
     const Error &error = std::get<Error>(result);
-    inquiry.CapacityRefusals += error.Kind == ErrorKind::SlotTaken;
-    inquiry.DoubtRefusals += error.Kind == ErrorKind::EndpointDoubtful;
+    context.CapacityRefusals += error.Kind == ErrorKind::SlotTaken;
+    context.DoubtRefusals += error.Kind == ErrorKind::EndpointDoubtful;
     bool hasFailed = error.Kind != ErrorKind::SlotTaken;
     freeTries += isFreeRetry(error.Kind);
-    if (hasFailed && !inquiry.LastGate.empty())
-      inquiry.Tried.push_back(std::exchange(inquiry.LastGate, {}));
-    inquiry.Runs += error.Run == RunState::Unknown;
-    if (error.Run == RunState::Unknown && inquiry.Arrivals == 0)
-      inquiry.Arrivals = 1;
+    if (hasFailed && !context.LastGate.empty())
+      context.Tried.push_back(std::exchange(context.LastGate, {}));
+    context.Runs += error.Run == RunState::Unknown;
+    if (error.Run == RunState::Unknown && context.Arrivals == 0)
+      context.Arrivals = 1;
     RetryDecision answer =
-        decideRetry({error, inquiry.IsIdempotent, number - freeTries,
-                     inquiry.Deadline - now(), inquiry.Cost.Expected,
-                     inquiry.Runs, inquiry.Way.Policy.MaxAttempts},
+        decideRetry({error, context.IsIdempotent, number - freeTries,
+                     context.Deadline - now(), context.Cost.Expected,
+                     context.Runs, context.MatchedRoute.Policy.MaxAttempts},
                     budget);
     Counters.countRetry(std::string(answer.Reason));
     logEvent(LogLevel::Warn, "attempt_failed",
-             {{"request", inquiry.Id},
+             {{"request", context.Id},
               {"attempt", number},
               {"kind", errorInfo(error.Kind).Name},
               {"run", toString(error.Run)},
               {"detail", error.Detail},
               {"retry", answer.Verdict == RetryVerdict::Retry},
               {"reason", answer.Reason}});
-    bool mayContinue = freeTries < FreeRetryLimit && !isTooLateToStart(inquiry);
+    bool mayContinue = freeTries < FreeRetryLimit && !isTooLateToStart(context);
     if (answer.Verdict == RetryVerdict::Retry && mayContinue)
       continue;
-    if (isOwedAnotherTry(inquiry, error)) {
-      inquiry.Tried.clear();
-      asio::steady_timer pause(Executor, OwedTryPause);
+    if (mayRetryDuringDrain(context, error)) {
+      context.Tried.clear();
+      asio::steady_timer pause(Executor, DrainRetryPause);
       co_await pause.async_wait(asio::use_awaitable);
       continue;
     }
     if (failure)
       co_return std::move(*failure);
-    co_return finalError(error, inquiry.Runs > 0);
+    co_return finalError(error, context.Runs > 0);
   }
 }
 
-// Work that a gate has taken from its endpoint is not given up by a stopping
-// node because there is no room elsewhere at this moment.
-bool Entry::isOwedAnotherTry(const Inquiry &inquiry, const Error &error) const {
-  bool mayRunAgain = inquiry.IsIdempotent && inquiry.Runs > 0 &&
-                     inquiry.Runs < inquiry.Way.Policy.MaxAttempts;
-  bool hasTime = inquiry.Deadline - now() > inquiry.Cost.Expected &&
-                 !isTooLateToStart(inquiry);
-  return IsWinding && mayRunAgain && error.Run == RunState::NotRun && hasTime &&
-         !inquiry.Scope->IsCancelled;
+// A stopping node keeps retrying an idempotent request whose earlier attempt
+// was aborted at its endpoint. Without this, the request would fail because no
+// slot is free elsewhere at the moment.
+bool Entry::mayRetryDuringDrain(const RequestContext &context,
+                                const Error &error) const {
+  bool mayRunAgain = context.IsIdempotent && context.Runs > 0 &&
+                     context.Runs < context.MatchedRoute.Policy.MaxAttempts;
+  bool hasTime = context.Deadline - now() > context.Cost.Expected &&
+                 !isTooLateToStart(context);
+  return IsDraining && mayRunAgain && error.Run == RunState::NotRun &&
+         hasTime && !context.Scope->IsCancelled;
 }
 
-/// Members of other data centres do not hear of passing standings; what a gate
-/// said of itself a moment ago goes before.
+/// Prefers the standing that the gate itself reported a moment ago: short-lived
+/// standings are not sent to members in other data centres.
 Standing Entry::standingOf(const GateView &gate, const GateLoadView &load,
                            Instant now) {
-  bool isTold = load.Load.standing > 0 &&
-                load.Load.standing <= 1 + int(Standing::Draining);
-  bool isFresh = load.At != Instant{} && now - load.At < ReportedStandingTerm;
+  bool isReported = load.Load.standing > 0 &&
+                    load.Load.standing <= 1 + int(Standing::Draining);
+  bool isFresh = load.At != Instant{} && now - load.At < ReportedStandingMaxAge;
   bool isRecord =
       gate.State == Standing::Draining || gate.State == Standing::Ejected;
-  return isTold && isFresh && !isRecord ? Standing(load.Load.standing - 1)
-                                        : gate.State;
+  return isReported && isFresh && !isRecord ? Standing(load.Load.standing - 1)
+                                            : gate.State;
 }
 
-std::vector<Candidate> Entry::candidates(const Inquiry &inquiry, Instant now) {
-  const std::string &service = inquiry.Way.Service;
+std::vector<Candidate> Entry::candidates(const RequestContext &context,
+                                         Instant now) {
+  const std::string &service = context.MatchedRoute.Service;
   std::vector<Candidate> all;
   auto view = View->Services.find(service);
   if (view == View->Services.end())
@@ -302,12 +308,12 @@
     it.IsPathUp = Links.isPathUp(gate.Node, now);
     auto node = View->Nodes.find(gate.Node);
     if (!it.IsPathUp && node != View->Nodes.end())
-      Links.tryAgain(gate.Node, node->second, now);
+      Links.reconnectIfDue(gate.Node, node->second, now);
     it.WasTried =
-        std::ranges::find(inquiry.Tried, gate.Node) != inquiry.Tried.end();
+        std::ranges::find(context.Tried, gate.Node) != context.Tried.end();
     const GateLoadView &load = Loads[loadKey(gate.Node, service)];
     it.State = standingOf(gate, load, now);
-    bool isFresh = now - load.At < LoadTerm && load.At != Instant{};
+    bool isFresh = now - load.At < LoadReportMaxAge && load.At != Instant{};
     it.FreeSlots = isFresh ? load.Load.freeSlots
                            : std::max(gate.Slots - load.Outstanding, 0);
     it.Queued = isFresh ? load.Load.queued : 0;
@@ -317,23 +323,24 @@
   return all;
 }
 
-/// Waits a little for a candidate to appear, since news of a change may be on
-/// its way.
-asio::awaitable<RoutePlan> Entry::planRoute(Inquiry &inquiry, bool isSerialized,
+/// Waits up to CandidateWait for a candidate, because a membership update may
+/// be in flight.
+asio::awaitable<RoutePlan> Entry::planRoute(RequestContext &context,
+                                            bool isSerialized,
                                             std::vector<Candidate> &all) {
-  const auto *router =
-      Registry<RouterPolicy>::instance().find(inquiry.Way.Policy.Router);
-  Instant until = std::min(now() + CandidatePatience, inquiry.Deadline);
-  RouteRequest question{inquiry.Cost.IsLong,
-                        inquiry.IsIdempotent,
-                        inquiry.CapacityRefusals > 0,
+  const auto *router = Registry<RouterPolicy>::instance().find(
+      context.MatchedRoute.Policy.Router);
+  Instant until = std::min(now() + CandidateWait, context.Deadline);
+  RouteRequest question{context.Cost.IsLong,
+                        context.IsIdempotent,
+                        context.CapacityRefusals > 0,
                         isSerialized,
-                        inquiry.Fingerprint,
-                        inquiry.Way.Policy.TrialOdds,
-                        inquiry.Way.Policy.SpillsToDoubtful,
-                        inquiry.CapacityRefusals};
+                        context.Fingerprint,
+                        context.MatchedRoute.Policy.TrialOdds,
+                        context.MatchedRoute.Policy.SpillsToDoubtful,
+                        context.CapacityRefusals};
   while (true) {
-    all = candidates(inquiry, now());
+    all = candidates(context, now());
     RoutePlan plan = router->Plan(all, question, Rng);
     if (!plan.Targets.empty() || now() >= until)
       co_return plan;
@@ -342,19 +349,20 @@
   }
 }
 
-asio::awaitable<EntryResult> Entry::tryOnce(Inquiry &inquiry, int number) {
+asio::awaitable<EntryResult> Entry::tryOnce(RequestContext &context,
+                                            int number) {
   QuarantineRule rule =
-      ruleFor(View->Crashes, inquiry.Fingerprint, now(), inquiry.Crashes);
+      ruleFor(View->Crashes, context.Fingerprint, now(), context.Crashes);
   if (rule == QuarantineRule::Refused)
     co_return makeError(ErrorKind::Quarantined,
-                        fingerprintName(inquiry.Fingerprint),
-                        inquiry.Way.Policy.QuarantineTerm);
+                        fingerprintName(context.Fingerprint),
+                        context.MatchedRoute.Policy.QuarantineTerm);
   bool isSerialized = rule == QuarantineRule::Serialized;
   std::vector<Candidate> all;
-  RoutePlan plan = co_await planRoute(inquiry, isSerialized, all);
+  RoutePlan plan = co_await planRoute(context, isSerialized, all);
   Attempt attempt;
-  attempt.Request = &inquiry;
-  attempt.Id = inquiry.Id + "/" + std::to_string(number);
+  attempt.Request = &context;
+  attempt.Id = context.Id + "/" + std::to_string(number);
   attempt.AwaitsGrant = plan.AwaitsGrant;
   attempt.OnlyIfFree = plan.OnlyIfFree;
   attempt.IsWaitBounded = plan.IsWaitBounded;
@@ -363,85 +371,87 @@
   attempt.Box = std::make_shared<StreamMailbox>(Executor);
   for (std::size_t i : plan.Targets) {
     auto node = View->Nodes.find(all[i].Node);
-    const auto &gates = View->Services.at(inquiry.Way.Service).Gates;
+    const auto &gates = View->Services.at(context.MatchedRoute.Service).Gates;
     if (node == View->Nodes.end())
       continue;
     GateView gate = gates[i];
     gate.State = all[i].State;
     attempt.Targets.push_back({gate, node->second, nullptr, 0, false});
   }
-  logRoute(inquiry, number, attempt, plan);
+  logRoute(context, number, attempt, plan);
   if (attempt.Targets.empty())
     co_return makeError(ErrorKind::NoEndpoint, plan.Reason, DefaultRetryAfter);
-  if (inquiry.Scope->IsCancelled)
+  if (context.Scope->IsCancelled)
     co_return makeError(ErrorKind::Cancelled);
-  inquiry.Scope->OnCancel = [box = attempt.Box] {
+  context.Scope->OnCancel = [box = attempt.Box] {
     box->put({0, CancelledEvent{}});
   };
   Attempts.insert(&attempt);
   EntryResult result;
   if (attempt.AwaitsGrant)
-    result = co_await leaveTickets(attempt);
+    result = co_await sendTickets(attempt);
   else
     result = co_await sendDirect(attempt);
   Attempts.erase(&attempt);
-  inquiry.Scope->OnCancel = nullptr;
+  context.Scope->OnCancel = nullptr;
   for (std::size_t i = 0; i < attempt.Targets.size(); ++i)
-    withdraw(attempt, i);
-  // Another data centre may have room.
+    cancelStream(attempt, i);
+  // Counts as a taken slot, so that the next attempt may go to another data
+  // centre.
   auto *error = std::get_if<Error>(&result);
   if (error && attempt.IsWaitBounded && error->Kind == ErrorKind::Overloaded)
     error->Kind = ErrorKind::SlotTaken;
   co_return result;
 }
 
-void Entry::logRoute(const Inquiry &inquiry, int number, const Attempt &attempt,
-                     const RoutePlan &plan) const {
+void Entry::logRoute(const RequestContext &context, int number,
+                     const Attempt &attempt, const RoutePlan &plan) const {
   if (!isLogged(LogLevel::Info))
     return;
   json chosen = json::array();
   for (const Attempt::Target &it : attempt.Targets)
     chosen.push_back(it.Gate.Node);
-  auto view = View->Services.find(inquiry.Way.Service);
+  auto view = View->Services.find(context.MatchedRoute.Service);
   logEvent(LogLevel::Info, "route",
-           {{"request", inquiry.Id},
-            {"caller_id", inquiry.CallerId},
+           {{"request", context.Id},
+            {"caller_id", context.CallerId},
             {"attempt", number},
-            {"route", inquiry.Way.Path},
-            {"service", inquiry.Way.Service},
+            {"route", context.MatchedRoute.Path},
+            {"service", context.MatchedRoute.Service},
             {"settings_revision", View->SettingsNext},
-            {"priority", inquiry.Way.Policy.Priority},
-            {"left_ms", toMillis(inquiry.Deadline - now()).count()},
+            {"priority", context.MatchedRoute.Policy.Priority},
+            {"left_ms", toMillis(context.Deadline - now()).count()},
             {"candidates",
              view == View->Services.end() ? 0 : view->second.Gates.size()},
             {"choice", chosen},
             {"reason", plan.Reason}});
 }
 
-HttpAnswer Entry::problem(const Error &error, const std::string &id,
-                          Micros timeLeft) {
+HttpResponse Entry::problem(const Error &error, const std::string &id,
+                            Micros timeLeft) {
   const ErrorInfo &row = errorInfo(error.Kind);
   Counters.countError(std::string(row.Name));
-  HttpAnswer answer;
-  answer.Status = statusOf(error);
-  json body = {{"type", "about:blank"},   {"title", row.Title},
-               {"status", answer.Status}, {"detail", error.Detail},
-               {"kind", row.Name},        {"run", toString(error.Run)},
+  HttpResponse response;
+  response.Status = statusOf(error);
+  json body = {{"type", "about:blank"},     {"title", row.Title},
+               {"status", response.Status}, {"detail", error.Detail},
+               {"kind", row.Name},          {"run", toString(error.Run)},
                {"request_id", id}};
   if (row.IsRetryable && error.Run == RunState::NotRun) {
     Millis wait = suggestRetryAfter(error.RetryAfter, toMillis(timeLeft), Rng);
     body["retry_after_ms"] = wait.count();
-    answer.Headers.push_back({"Retry-After", formatRetryAfter(Dialect, wait)});
+    response.Headers.push_back(
+        {"Retry-After", formatRetryAfter(Dialect, wait)});
   }
-  answer.Headers.push_back({"Content-Type", "application/problem+json"});
-  answer.Content = std::make_shared<const std::string>(
+  response.Headers.push_back({"Content-Type", "application/problem+json"});
+  response.Content = std::make_shared<const std::string>(
       body.dump(-1, ' ', false, json::error_handler_t::replace));
   logEvent(LogLevel::Warn, "problem",
            {{"request", id},
             {"kind", row.Name},
             {"run", toString(error.Run)},
             {"detail", error.Detail}});
-  return answer;
+  return response;
 }
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/entry/entryattempt.cpp
+++ b/src/libfleet/entry/entryattempt.cpp
@@ -7,33 +7,33 @@
 
 #include <algorithm>
 
-/// The part of an entry that sends attempts to gates and hears of them.
+/// The part of Entry that sends attempts to gates and processes their replies.
 
 namespace hickoryglade::fleet {
 
 namespace {
 
-/// A gate answers within the deadline it is given; an entry gives it this much
-/// less than the caller allows.
+/// Subtracted from the caller's deadline for the gate, so that a reply at the
+/// gate's deadline arrives in time.
 constexpr Micros AnswerMargin = std::chrono::milliseconds(2);
 
-/// Time to write the last answers before the node ends.
-constexpr Micros AnswerTerm = std::chrono::milliseconds(150);
+/// Time reserved for writing the last responses before the node exits.
+constexpr Micros AnswerWriteTime = std::chrono::milliseconds(150);
 
-/// Refusals because of doubt after which a request that may run only once takes
-/// the next endpoint whose standing is good.
-constexpr int MostDoubtRefusals = 4;
+/// After this many refusals by doubtful endpoints, a non-idempotent request
+/// also accepts an endpoint whose running work is silent.
+constexpr int MaxDoubtRefusals = 4;
 
-/// Most requests end within this many times their expected time.
+/// Most requests complete within this multiple of their expected run time.
 constexpr int UsualRunFactor = 2;
 
-Error nodeEnds(RunState run) {
+Error shutdownError(RunState run) {
   return {ErrorKind::ShuttingDown, run, "the node ends", DefaultRetryAfter};
 }
 
 } // namespace
 
-wire::Revoke Entry::Attempt::question(std::size_t target) const {
+wire::Revoke Entry::Attempt::makeRevoke(std::size_t target) const {
   wire::Revoke revoke;
   revoke.attemptId = Id;
   revoke.gateBootId = Targets[target].Node.BootId;
@@ -53,39 +53,40 @@
     co_return false;
   it.Stream = it.Client->open(attempt.Box, target);
   it.IsOpen = true;
-  ++Loads[loadKey(it.Gate.Node, attempt.Request->Way.Service)].Outstanding;
+  ++Loads[loadKey(it.Gate.Node, attempt.Request->MatchedRoute.Service)]
+        .Outstanding;
   co_return true;
 }
 
 wire::Ticket Entry::makeTicket(const Attempt &attempt,
                                std::size_t target) const {
-  const Inquiry &inquiry = *attempt.Request;
+  const RequestContext &context = *attempt.Request;
   const Attempt::Target &it = attempt.Targets[target];
   wire::Ticket ticket;
   ticket.attemptId = attempt.Id;
-  ticket.workspace = inquiry.Way.Workspace;
-  ticket.serviceName = inquiry.Way.Service;
+  ticket.workspace = context.MatchedRoute.Workspace;
+  ticket.serviceName = context.MatchedRoute.Service;
   ticket.gateBootId = it.Node.BootId;
-  ticket.timeoutMs = toMillis(inquiry.Deadline - AnswerMargin - now()).count();
+  ticket.timeoutMs = toMillis(context.Deadline - AnswerMargin - now()).count();
   ticket.linkAgeMs = it.Client->channel().ageMs();
   ticket.targetMs = std::max<std::int64_t>(
-      toMillis(inquiry.Target - AnswerMargin - now()).count(), 1);
-  ticket.expectedCostUs = inquiry.Cost.Expected.count();
-  ticket.isLong = inquiry.Cost.IsLong;
-  ticket.isIdempotent = inquiry.IsIdempotent;
-  ticket.fingerprint = std::int64_t(inquiry.Fingerprint);
-  ticket.knownCrashes = inquiry.Crashes;
+      toMillis(context.Target - AnswerMargin - now()).count(), 1);
+  ticket.expectedCostUs = context.Cost.Expected.count();
+  ticket.isLong = context.Cost.IsLong;
+  ticket.isIdempotent = context.IsIdempotent;
+  ticket.fingerprint = std::int64_t(context.Fingerprint);
+  ticket.knownCrashes = context.Crashes;
   ticket.onlyIfFree = attempt.OnlyIfFree;
   ticket.isSpill = attempt.IsSpill;
   ticket.awaitsClaim = attempt.AwaitsGrant;
-  ticket.isRepeat = inquiry.Arrivals > 0;
+  ticket.isRepeat = context.Arrivals > 0;
   ticket.acceptsDoubtful = it.Gate.State != Standing::Healthy;
-  ticket.acceptsSilent = inquiry.DoubtRefusals >= MostDoubtRefusals;
+  ticket.acceptsSilent = context.DoubtRefusals >= MaxDoubtRefusals;
   if (attempt.IsWaitBounded)
-    ticket.maxWaitMs = inquiry.Way.Policy.NearWait.count();
+    ticket.maxWaitMs = context.MatchedRoute.Policy.NearWait.count();
   ticket.isLastTry =
-      IsWinding || inquiry.Runs + 1 >= inquiry.Way.Policy.MaxAttempts;
-  ticket.priority = inquiry.Way.Policy.Priority;
+      IsDraining || context.Runs + 1 >= context.MatchedRoute.Policy.MaxAttempts;
+  ticket.priority = context.MatchedRoute.Policy.Priority;
   ticket.isSerialized = attempt.IsSerialized;
   return ticket;
 }
@@ -112,9 +113,9 @@
   it.Client->channel().sendBody(it.Stream, http.Content);
 }
 
-// A stopping node that tried again elsewhere might end before the second try.
-void Entry::wind() {
-  IsWinding = true;
+// A stopping node might exit before a retry on another endpoint completes.
+void Entry::beginDrain() {
+  IsDraining = true;
   for (Attempt *attempt : Attempts)
     for (Attempt::Target &it : attempt->Targets) {
       if (!it.IsOpen)
@@ -126,34 +127,35 @@
     }
 }
 
-bool Entry::isTooLateToStart(const Inquiry &inquiry) const {
-  Micros work = UsualRunFactor * inquiry.Cost.Expected;
-  return EndsAt && now() + work + AnswerTerm >= *EndsAt;
+bool Entry::isTooLateToStart(const RequestContext &context) const {
+  Micros work = UsualRunFactor * context.Cost.Expected;
+  return EndsAt && now() + work + AnswerWriteTime >= *EndsAt;
 }
 
-// Work that waits would be cut off in the middle if it started too late. It has
-// not run, and its caller can go elsewhere.
-void Entry::settle(Instant end) {
+// A waiting request that starts too late would be aborted halfway. Failing it
+// before it runs lets the caller safely send it to another node.
+void Entry::enforceShutdownDeadline(Instant end) {
   EndsAt = end;
-  bool isOver = now() + AnswerTerm >= end;
+  bool isOver = now() + AnswerWriteTime >= end;
   for (Attempt *attempt : Attempts) {
-    bool isInVain =
+    bool isHopeless =
         isOver || (attempt->isWaiting() && isTooLateToStart(*attempt->Request));
-    if (attempt->IsStopped || !isInVain)
+    if (attempt->IsStopped || !isHopeless)
       continue;
     attempt->IsStopped = true;
     attempt->Box->put({0, StoppedEvent{}});
   }
 }
 
-/// Ends a stream that is still open, telling the gate to stop.
-void Entry::withdraw(Attempt &attempt, std::size_t target) {
+/// Closes a stream that is still open and sends the gate a cancel frame.
+void Entry::cancelStream(Attempt &attempt, std::size_t target) {
   Attempt::Target &it = attempt.Targets[target];
   if (!it.IsOpen)
     return;
   it.IsOpen = false;
-  --Loads[loadKey(it.Gate.Node, attempt.Request->Way.Service)].Outstanding;
-  it.Client->forget(it.Stream);
+  --Loads[loadKey(it.Gate.Node, attempt.Request->MatchedRoute.Service)]
+        .Outstanding;
+  it.Client->closeStream(it.Stream);
   wire::Frame frame;
   frame.stream = it.Stream;
   frame.__set_cancel({});
@@ -170,7 +172,7 @@
   co_return co_await awaitAnswer(attempt, 0);
 }
 
-asio::awaitable<EntryResult> Entry::leaveTickets(Attempt &attempt) {
+asio::awaitable<EntryResult> Entry::sendTickets(Attempt &attempt) {
   std::size_t open = 0;
   for (std::size_t i = 0; i < attempt.Targets.size(); ++i) {
     bool isOpen = co_await openTarget(attempt, i);
@@ -194,12 +196,12 @@
     if (std::holds_alternative<CancelledEvent>(event->Content))
       co_return Error{ErrorKind::Cancelled, RunState::NotRun, {}, {}};
     if (std::holds_alternative<StoppedEvent>(event->Content))
-      co_return nodeEnds(RunState::NotRun);
+      co_return shutdownError(RunState::NotRun);
     if (std::holds_alternative<GrantEvent>(event->Content)) {
       attempt.IsGranted = true;
       for (std::size_t i = 0; i < attempt.Targets.size(); ++i)
         if (i != event->Tag)
-          withdraw(attempt, i);
+          cancelStream(attempt, i);
       attempt.Request->LastGate = attempt.Targets[event->Tag].Gate.Node;
       sendCall(attempt, event->Tag);
       co_return co_await awaitAnswer(attempt, event->Tag);
@@ -209,9 +211,9 @@
       if (last.Kind != ErrorKind::Overloaded)
         attempt.Request->Tried.push_back(attempt.Targets[event->Tag].Gate.Node);
       noteLoad(attempt.Targets[event->Tag].Gate.Node,
-               attempt.Request->Way.Service, failure->load);
+               attempt.Request->MatchedRoute.Service, failure->load);
     }
-    withdraw(attempt, event->Tag);
+    cancelStream(attempt, event->Tag);
     --open;
   }
   co_return last;
@@ -219,7 +221,7 @@
 
 asio::awaitable<EntryResult> Entry::awaitAnswer(Attempt &attempt,
                                                 std::size_t target) {
-  const std::string &service = attempt.Request->Way.Service;
+  const std::string &service = attempt.Request->MatchedRoute.Service;
   const std::string &node = attempt.Targets[target].Gate.Node;
   while (true) {
     std::optional<StreamEvent> event =
@@ -230,7 +232,7 @@
     if (std::holds_alternative<CancelledEvent>(event->Content))
       co_return makeError(ErrorKind::Cancelled);
     if (std::holds_alternative<StoppedEvent>(event->Content))
-      co_return nodeEnds(RunState::Unknown);
+      co_return shutdownError(RunState::Unknown);
     if (event->Tag != target)
       continue;
     if (auto *answer = std::get_if<AnswerEvent>(&event->Content)) {
@@ -249,24 +251,24 @@
       continue;
     if (attempt.Request->IsIdempotent)
       co_return makeError(ErrorKind::GateLost, "the link to the gate was lost");
-    co_return co_await resolve(attempt, target);
+    co_return co_await resolveOutcome(attempt, target);
   }
 }
 
-/// After a lost link, asks the gate over a fresh one, or through another node
-/// that may still reach it, what became of the attempt: it is fenced, or its
-/// answer follows.
-asio::awaitable<EntryResult> Entry::resolve(Attempt &attempt,
-                                            std::size_t target) {
-  withdraw(attempt, target);
-  std::optional<EntryResult> verdict;
-  while (!verdict && now() < attempt.Request->Deadline) {
+/// After the link is lost, queries the gate for the outcome of the attempt over
+/// a new link, or through a node that may still reach the gate. The gate fences
+/// an attempt that has not started, and otherwise sends its result.
+asio::awaitable<EntryResult> Entry::resolveOutcome(Attempt &attempt,
+                                                   std::size_t target) {
+  cancelStream(attempt, target);
+  std::optional<EntryResult> result;
+  while (!result && now() < attempt.Request->Deadline) {
     if (attempt.Request->Scope->IsCancelled)
       co_return makeError(ErrorKind::Cancelled);
-    bool isAsked = co_await askGate(attempt, target);
-    if (!isAsked)
-      isAsked = co_await askThroughPeer(attempt, target);
-    if (!isAsked) {
+    bool isQuerySent = co_await queryGate(attempt, target);
+    if (!isQuerySent)
+      isQuerySent = co_await queryThroughPeer(attempt, target);
+    if (!isQuerySent) {
       asio::steady_timer pause(Executor, ResolvePause);
       co_await pause.async_wait(asio::use_awaitable);
       continue;
@@ -275,22 +277,22 @@
         co_await attempt.Box->next(attempt.waitUntil());
     if (!event)
       break;
-    verdict = verdictOf(attempt, *event);
-    withdraw(attempt, target);
+    result = resultFrom(attempt, *event);
+    cancelStream(attempt, target);
   }
-  for (const Attempt::RelayedQuestion &it : attempt.Relayed)
+  for (const Attempt::RelayedQuery &it : attempt.Relayed)
     if (it.Client)
-      it.Client->forget(it.Stream);
-  if (verdict)
-    co_return std::move(*verdict);
+      it.Client->closeStream(it.Stream);
+  if (result)
+    co_return std::move(*result);
   co_return makeError(ErrorKind::GateLost, "the gate cannot be reached",
                       DefaultRetryAfter);
 }
 
-/// What a gate's reply means for the attempt; nothing if it has to be asked
-/// again.
-std::optional<EntryResult> Entry::verdictOf(Attempt &attempt,
-                                            StreamEvent &event) const {
+/// Converts a gate's reply to the result of the attempt; nullopt if the gate
+/// has to be queried again.
+std::optional<EntryResult> Entry::resultFrom(Attempt &attempt,
+                                             StreamEvent &event) const {
   if (auto *revoked = std::get_if<RevokedEvent>(&event.Content)) {
     if (revoked->IsUnreachable)
       return std::nullopt;
@@ -307,58 +309,59 @@
   if (std::holds_alternative<CancelledEvent>(event.Content))
     return makeError(ErrorKind::Cancelled);
   if (std::holds_alternative<StoppedEvent>(event.Content))
-    return nodeEnds(RunState::Unknown);
+    return shutdownError(RunState::Unknown);
   return std::nullopt;
 }
 
-asio::awaitable<bool> Entry::askGate(Attempt &attempt, std::size_t target) {
+asio::awaitable<bool> Entry::queryGate(Attempt &attempt, std::size_t target) {
   bool isOpen = co_await openTarget(attempt, target);
   if (!isOpen)
     co_return false;
   Attempt::Target &it = attempt.Targets[target];
   wire::Frame frame;
   frame.stream = it.Stream;
-  frame.revoke = attempt.question(target);
+  frame.revoke = attempt.makeRevoke(target);
   frame.__isset.revoke = true;
   it.Client->channel().send(std::move(frame));
   co_return true;
 }
 
-/// Paths between nodes may be cut one by one: each node is asked once.
-asio::awaitable<bool> Entry::askThroughPeer(Attempt &attempt,
-                                            std::size_t target) {
-  std::string helper = pickHelper(attempt, target);
-  auto view = View->Nodes.find(helper);
+/// The path between two nodes may fail while others work. Each node is tried as
+/// a relay once.
+asio::awaitable<bool> Entry::queryThroughPeer(Attempt &attempt,
+                                              std::size_t target) {
+  std::string relay = pickRelay(attempt, target);
+  auto view = View->Nodes.find(relay);
   if (view == View->Nodes.end())
     co_return false;
   NodeView at = view->second;
-  attempt.Relayed.push_back({helper, nullptr, 0});
-  auto client = co_await Links.connect(helper, at, attempt.Request->Deadline);
+  attempt.Relayed.push_back({relay, nullptr, 0});
+  auto client = co_await Links.connect(relay, at, attempt.Request->Deadline);
   logEvent(LogLevel::Info, "gate_asked_through_peer",
            {{"request", attempt.Request->Id},
             {"attempt", attempt.Id},
             {"gate", attempt.Targets[target].Gate.Node},
-            {"through", helper},
+            {"through", relay},
             {"reached", client != nullptr}});
   if (!client)
     co_return false;
-  Attempt::RelayedQuestion &question = attempt.Relayed.back();
-  question.Client = client;
-  question.Stream = client->open(attempt.Box, target);
+  Attempt::RelayedQuery &query = attempt.Relayed.back();
+  query.Client = client;
+  query.Stream = client->open(attempt.Box, target);
   wire::Frame frame;
-  frame.stream = question.Stream;
-  frame.revoke = attempt.question(target);
+  frame.stream = query.Stream;
+  frame.revoke = attempt.makeRevoke(target);
   frame.revoke.askedNode = attempt.Targets[target].Gate.Node;
   frame.__isset.revoke = true;
   client->channel().send(std::move(frame));
   co_return true;
 }
 
-std::string Entry::pickHelper(const Attempt &attempt, std::size_t target) {
+std::string Entry::pickRelay(const Attempt &attempt, std::size_t target) {
   std::vector<std::string> all;
   for (const auto &[node, view] : View->Nodes) {
     bool isUsed = std::ranges::find(attempt.Relayed, node,
-                                    &Attempt::RelayedQuestion::Node) !=
+                                    &Attempt::RelayedQuery::Node) !=
                   attempt.Relayed.end();
     bool isEnd = node == Node || node == attempt.Targets[target].Gate.Node;
     if (!isEnd && !isUsed && Links.isPathUp(node, now()))
@@ -379,7 +382,8 @@
 Error Entry::toError(Attempt &attempt, const wire::Failure &failure) const {
   attempt.Request->Crashes += failure.isCrash;
   attempt.Request->Arrivals += failure.hasReached;
-  // Another copy's crash counts for this one before the news comes.
+  // A crash that another copy of the request caused counts for this one before
+  // its crash record arrives here.
   if (errorKindFromWire(failure.kind) == ErrorKind::ContentSuspect)
     attempt.Request->Crashes = std::max(attempt.Request->Crashes, 1);
   RunState run = failure.run == int(RunState::NotRun) ? RunState::NotRun
--- a/src/libfleet/gate/endpointclient.cpp
+++ b/src/libfleet/gate/endpointclient.cpp
@@ -21,13 +21,14 @@
 /// A process that ends may close its connections before it stops listening.
 constexpr Micros ExitTime = std::chrono::milliseconds(50);
 
-/// An idle connection may have been forgotten by something between its ends.
-/// Work that cannot be repeated trusts only one that worked a moment ago.
+/// A middlebox may have dropped the state of an idle connection without closing
+/// it. Non-idempotent requests therefore use only a connection that worked a
+/// moment ago.
 constexpr Micros IdleLimit = std::chrono::seconds(15);
 constexpr Micros IdleLimitNonIdempotent = std::chrono::seconds(1);
 
-constexpr std::size_t MostIdle = 16;
-constexpr std::uint64_t MostAnswerBytes = 64 * 1024 * 1024;
+constexpr std::size_t MaxIdleConnections = 16;
+constexpr std::uint64_t MaxResponseBytes = 64 * 1024 * 1024;
 
 EndpointResult failed(AttemptOutcome outcome, ErrorKind kind, RunState run,
                       std::string detail) {
@@ -60,20 +61,21 @@
   return out;
 }
 
-HttpAnswer fromBeast(http::response<http::string_body> &&in) {
-  HttpAnswer answer;
-  answer.Status = int(in.result_int());
+HttpResponse fromBeast(http::response<http::string_body> &&in) {
+  HttpResponse response;
+  response.Status = int(in.result_int());
   for (const auto &field : in)
     if (!isHopByHop(std::string_view(field.name_string().data(),
                                      field.name_string().size())))
-      answer.Headers.push_back(
+      response.Headers.push_back(
           {std::string(field.name_string()), std::string(field.value())});
-  answer.Content = std::make_shared<const std::string>(std::move(in.body()));
-  return answer;
+  response.Content = std::make_shared<const std::string>(std::move(in.body()));
+  return response;
 }
 
-/// An answer that ends when its connection closes cannot be told from a
-/// truncated one, unless the endpoint is known to close in order.
+/// True if the end of the response is known from its head. A body delimited by
+/// the end of the connection cannot be distinguished from a truncated one,
+/// unless endpoints are known to close connections only after the whole body.
 template <typename Parser>
 bool isLengthKnown(const Parser &parser, bool isHead) {
   int status = int(parser.get().result_int());
@@ -87,9 +89,9 @@
 struct EndpointClient::Connection {
   explicit Connection(const asio::any_io_executor &ex) : Stream(ex) {}
 
-  /// False if the endpoint has closed the connection or sent something that
-  /// nobody asked for.
-  bool isQuiet() {
+  /// False if the endpoint has closed the connection or sent bytes outside a
+  /// response.
+  bool isReusable() {
     error_code ec;
     tcp::socket &socket = Stream.socket();
     socket.non_blocking(true, ec);
@@ -114,7 +116,7 @@
   std::list<ConnectionPtr> &idle = Idle[address];
   Micros limit = isIdempotent ? IdleLimit : IdleLimitNonIdempotent;
   std::erase_if(idle, [](const ConnectionPtr &it) {
-    return now() - it->IdleSince > IdleLimit || !it->isQuiet();
+    return now() - it->IdleSince > IdleLimit || !it->isReusable();
   });
   if (idle.empty() || now() - idle.back()->IdleSince > limit)
     return nullptr;
@@ -128,11 +130,13 @@
   connection->IdleSince = now();
   std::list<ConnectionPtr> &idle = Idle[address];
   idle.push_back(std::move(connection));
-  if (idle.size() > MostIdle)
+  if (idle.size() > MaxIdleConnections)
     idle.pop_front();
 }
 
-void EndpointClient::forget(const std::string &address) { Idle.erase(address); }
+void EndpointClient::closeIdle(const std::string &address) {
+  Idle.erase(address);
+}
 
 asio::awaitable<EndpointClient::ConnectionPtr>
 EndpointClient::connect(std::string address, Instant deadline,
@@ -161,12 +165,12 @@
   co_return connection != nullptr;
 }
 
-/// A connection that broke may mean that the endpoint's process is gone; it
-/// is if nothing listens at its address.
+/// Distinguishes a broken connection from a crashed endpoint: its process has
+/// ended if nothing listens at its address.
 asio::awaitable<EndpointResult>
-EndpointClient::explainLoss(std::string address, ErrorKind kind,
-                            std::string detail) {
-  forget(address);
+EndpointClient::classifyLoss(std::string address, ErrorKind kind,
+                             std::string detail) {
+  closeIdle(address);
   bool isAlive = co_await isListening(address);
   if (isAlive) {
     asio::steady_timer pause(Executor, ExitTime);
@@ -177,30 +181,30 @@
                    kind, RunState::Unknown, std::move(detail));
 }
 
-EndpointResult EndpointClient::judge(HttpAnswer answer) const {
+EndpointResult EndpointClient::classifyResponse(HttpResponse response) const {
   constexpr int misdirected = 421;
-  if (answer.Status == misdirected && Dialect.IsNotRun(answer))
+  if (response.Status == misdirected && Dialect.IsNotRun(response))
     return failed(AttemptOutcome::Unreachable, ErrorKind::WrongGeneration,
                   RunState::NotRun, "another endpoint has the address");
-  if (Dialect.IsNotRun(answer))
+  if (Dialect.IsNotRun(response))
     return failed(AttemptOutcome::Shed, ErrorKind::EndpointShed,
                   RunState::NotRun, "the endpoint sheds load");
-  AttemptOutcome outcome = answer.Status >= 500 ? AttemptOutcome::ServerError
-                                                : AttemptOutcome::Answered;
-  return EndpointResult{outcome, std::move(answer), {}, Micros{0}};
+  AttemptOutcome outcome = response.Status >= 500 ? AttemptOutcome::ServerError
+                                                  : AttemptOutcome::Answered;
+  return EndpointResult{outcome, std::move(response), {}, Micros{0}};
 }
 
-/// Reads answers until one belongs to the request: late ones to earlier
+/// Reads responses until one belongs to the request: late responses to earlier
 /// requests may come first.
 asio::awaitable<EndpointResult>
-EndpointClient::readAnswer(ConnectionPtr connection, const EndpointCall &call,
-                           std::shared_ptr<bool> isWritten) {
+EndpointClient::readResponse(ConnectionPtr connection, const EndpointCall &call,
+                             std::shared_ptr<bool> isWritten) {
   bool isHead = call.Request.Method == "HEAD";
   std::string id = headerValue(call.Request.Headers, Dialect.RequestIdHeader);
   bool isInOrder = true;
   while (true) {
     http::response_parser<http::string_body> parser;
-    parser.body_limit(MostAnswerBytes);
+    parser.body_limit(MaxResponseBytes);
     parser.skip(isHead);
     error_code ec;
     co_await http::async_read_header(
@@ -219,30 +223,31 @@
                        RunState::Unknown,
                        "the endpoint did not answer in time");
     if (ec)
-      co_return co_await explainLoss(call.Address,
-                                     hasHead ? ErrorKind::AnswerTruncated
-                                             : ErrorKind::EndpointFailed,
-                                     ec.message());
+      co_return co_await classifyLoss(call.Address,
+                                      hasHead ? ErrorKind::AnswerTruncated
+                                              : ErrorKind::EndpointFailed,
+                                      ec.message());
     bool isKept = parser.keep_alive() && isFramed && *isWritten;
-    HttpAnswer answer = fromBeast(parser.release());
-    AnswerMatch match = matchAnswer(Dialect, answer, id);
-    if (match == AnswerMatch::Stray && isKept) {
+    HttpResponse response = fromBeast(parser.release());
+    ResponseMatch match = matchResponse(Dialect, response, id);
+    if (match == ResponseMatch::Late && isKept) {
       isInOrder = false;
       continue;
     }
-    if (match != AnswerMatch::Own)
+    if (match != ResponseMatch::Own)
       co_return failed(AttemptOutcome::Failed, ErrorKind::EndpointFailed,
                        RunState::Unknown, "the answer is not the endpoint's");
     if (isKept && isInOrder && connection->Buffer.size() == 0 &&
-        repeatsId(Dialect, answer, id))
+        repeatsId(Dialect, response, id))
       putIdle(call.Address, connection);
-    co_return judge(std::move(answer));
+    co_return classifyResponse(std::move(response));
   }
 }
 
 namespace {
 
-/// Sends a request; an endpoint may answer before it has read all of it.
+/// Writes a request. Runs beside readResponse(), because an endpoint may
+/// respond before it has read all of the request.
 template <typename Connection>
 asio::awaitable<void> writeRequest(std::shared_ptr<Connection> connection,
                                    http::request<http::string_body> message,
@@ -274,7 +279,7 @@
       Executor,
       writeRequest(connection, toBeast(call.Request, call.Address), isWritten),
       asio::detached);
-  EndpointResult result = co_await readAnswer(connection, call, isWritten);
+  EndpointResult result = co_await readResponse(connection, call, isWritten);
   if (handle->IsCancelled)
     co_return failed(AttemptOutcome::Cancelled, ErrorKind::Cancelled,
                      RunState::Unknown, "given up");
--- a/src/libfleet/gate/endpointclient.h
+++ b/src/libfleet/gate/endpointclient.h
@@ -15,20 +15,20 @@
 /// How an exchange with an endpoint ended.
 struct EndpointResult {
   AttemptOutcome Outcome = AttemptOutcome::Failed;
-  /// Set for a whole answer.
-  std::optional<HttpAnswer> Answer;
+  /// Set for a complete response.
+  std::optional<HttpResponse> Answer;
   /// Set otherwise.
   Error Failure;
   Micros RunTime{0};
 };
 
-/// Lets the owner of an exchange give it up.
+/// Lets the owner of an exchange cancel it.
 struct ExchangeHandle {
   std::function<void()> Cancel;
   bool IsCancelled = false;
 };
 
-/// A request on its way to an endpoint.
+/// A request to be sent to an endpoint.
 struct EndpointCall {
   std::string Address;
   HttpRequest Request;
@@ -36,8 +36,8 @@
   Instant Deadline;
 };
 
-/// Speaks HTTP/1.1 to endpoints over pooled connections, one exchange at a
-/// time on each. Used from one thread only.
+/// HTTP/1.1 client for endpoints with a pool of connections, each of which
+/// carries one exchange at a time. Used from one thread only.
 class EndpointClient {
 public:
   EndpointClient(asio::any_io_executor ex, const HttpDialect &dialect);
@@ -47,7 +47,7 @@
   exchange(EndpointCall call, std::shared_ptr<ExchangeHandle> handle);
 
   /// Closes idle connections to an endpoint.
-  void forget(const std::string &address);
+  void closeIdle(const std::string &address);
 
 private:
   struct Connection;
@@ -58,13 +58,13 @@
   asio::awaitable<ConnectionPtr>
   connect(std::string address, Instant deadline,
           std::shared_ptr<ExchangeHandle> handle);
-  asio::awaitable<EndpointResult> readAnswer(ConnectionPtr connection,
-                                             const EndpointCall &call,
-                                             std::shared_ptr<bool> isWritten);
-  EndpointResult judge(HttpAnswer answer) const;
+  asio::awaitable<EndpointResult> readResponse(ConnectionPtr connection,
+                                               const EndpointCall &call,
+                                               std::shared_ptr<bool> isWritten);
+  EndpointResult classifyResponse(HttpResponse response) const;
   asio::awaitable<bool> isListening(std::string address);
   asio::awaitable<EndpointResult>
-  explainLoss(std::string address, ErrorKind kind, std::string detail);
+  classifyLoss(std::string address, ErrorKind kind, std::string detail);
 
   asio::any_io_executor Executor;
   const HttpDialect &Dialect;
--- a/src/libfleet/http/httpcaller.cpp
+++ b/src/libfleet/http/httpclient.cpp
@@ -1,4 +1,4 @@
-#include "libfleet/http/httpcaller.h"
+#include "libfleet/http/httpclient.h"
 
 #include "libfleet/base/address.h"
 
@@ -15,15 +15,15 @@
 namespace {
 
 constexpr Millis ConnectLimit = std::chrono::seconds(1);
-constexpr std::uint64_t MostReplyBytes = 64 * 1024 * 1024;
+constexpr std::uint64_t MaxResponseBytes = 64 * 1024 * 1024;
 
-/// A peer that does not answer keep-alive probes for about 3 s has gone
-/// silent: long polls would notice only at their end.
+/// TCP keep-alive probes detect an unreachable server within about 3 s. A long
+/// poll would notice it only when it times out.
 constexpr int KeepAliveIdleSeconds = 1;
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbes = 2;
 
-void probeWhileIdle(tcp::socket &socket) {
+void enableKeepAlive(tcp::socket &socket) {
   using Idle = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
   using Interval =
       asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
@@ -38,19 +38,19 @@
 
 } // namespace
 
-struct HttpCaller::Connection {
+struct HttpClient::Connection {
   explicit Connection(const asio::any_io_executor &ex) : Stream(ex) {}
 
   beast::tcp_stream Stream;
   beast::flat_buffer Buffer;
 };
 
-HttpCaller::HttpCaller(asio::any_io_executor ex, std::string address)
+HttpClient::HttpClient(asio::any_io_executor ex, std::string address)
     : Executor(std::move(ex)), Address(std::move(address)) {}
 
-HttpCaller::~HttpCaller() = default;
+HttpClient::~HttpClient() = default;
 
-asio::awaitable<bool> HttpCaller::connect() {
+asio::awaitable<bool> HttpClient::connect() {
   std::optional<fleet::Address> parsed = parseAddress(Address);
   if (!parsed)
     co_return false;
@@ -64,14 +64,13 @@
     Current = nullptr;
     co_return false;
   }
-  probeWhileIdle(Current->Stream.socket());
+  enableKeepAlive(Current->Stream.socket());
   co_return true;
 }
 
-asio::awaitable<std::optional<HttpAnswer>> HttpCaller::call(std::string method,
-                                                            std::string target,
-                                                            std::string content,
-                                                            Millis limit) {
+asio::awaitable<std::optional<HttpResponse>>
+HttpClient::call(std::string method, std::string target, std::string content,
+                 Millis limit) {
   if (!Current) {
     bool isConnected = co_await connect();
     if (!isConnected)
@@ -89,7 +88,7 @@
   co_await http::async_write(Current->Stream, request,
                              asio::redirect_error(asio::use_awaitable, ec));
   http::response_parser<http::string_body> parser;
-  parser.body_limit(MostReplyBytes);
+  parser.body_limit(MaxResponseBytes);
   if (!ec)
     co_await http::async_read(Current->Stream, Current->Buffer, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
@@ -97,16 +96,16 @@
     Current = nullptr;
     co_return std::nullopt;
   }
-  HttpAnswer answer;
-  answer.Status = int(parser.get().result_int());
+  HttpResponse response;
+  response.Status = int(parser.get().result_int());
   for (const auto &field : parser.get())
-    answer.Headers.push_back(
+    response.Headers.push_back(
         {std::string(field.name_string()), std::string(field.value())});
-  answer.Content =
+  response.Content =
       std::make_shared<const std::string>(std::move(parser.get().body()));
   if (!parser.keep_alive())
     Current = nullptr;
-  co_return answer;
+  co_return response;
 }
 
 } // namespace hickoryglade::fleet
--- /dev/null
+++ b/src/libfleet/http/httpclient.h
@@ -0,0 +1,40 @@
+#pragma once
+
+#include "libfleet/base/asio.h"
+#include "libfleet/http/httpmessage.h"
+#include "libhickoryglade/instant.h"
+
+#include <memory>
+#include <optional>
+#include <string>
+
+namespace hickoryglade::fleet {
+
+/// HTTP client for one server. Keeps its connection open and sends one request
+/// at a time.
+class HttpClient {
+public:
+  HttpClient(asio::any_io_executor ex, std::string address);
+  ~HttpClient();
+
+  const std::string &address() const { return Address; }
+
+  /// Returns nullopt if no complete response arrives within the limit. The
+  /// server may have executed the request nevertheless. The connection is not
+  /// reused in this case.
+  asio::awaitable<std::optional<HttpResponse>> call(std::string method,
+                                                    std::string target,
+                                                    std::string content,
+                                                    Millis limit);
+
+private:
+  struct Connection;
+
+  asio::awaitable<bool> connect();
+
+  asio::any_io_executor Executor;
+  std::string Address;
+  std::unique_ptr<Connection> Current;
+};
+
+} // namespace hickoryglade::fleet
--- a/src/libfleet/http/httpdialect.cpp
+++ b/src/libfleet/http/httpdialect.cpp
@@ -13,43 +13,46 @@
 constexpr double MillisPerSecond = 1'000;
 constexpr int ServiceUnavailable = 503;
 
-bool isOwnNotRun(const HttpAnswer &answer) {
-  return answer.Status == ServiceUnavailable &&
-         headerValue(answer.Headers, "Endpoint-Shed") == "not-run";
+bool isDefaultNotRun(const HttpResponse &response) {
+  return response.Status == ServiceUnavailable &&
+         headerValue(response.Headers, "Endpoint-Shed") == "not-run";
 }
 
-HttpDialect makeOwnDialect() {
+HttpDialect makeDefaultDialect() {
   HttpDialect dialect;
-  dialect.IsNotRun = isOwnNotRun;
+  dialect.IsNotRun = isDefaultNotRun;
   return dialect;
 }
 
-bool isSuccess(const HttpAnswer &answer) { return answer.Status / 100 == 2; }
+bool isSuccess(const HttpResponse &response) {
+  return response.Status / 100 == 2;
+}
 
 } // namespace
 
-const HttpDialect &ownDialect() {
-  static const HttpDialect it = makeOwnDialect();
+const HttpDialect &defaultDialect() {
+  static const HttpDialect it = makeDefaultDialect();
   return it;
 }
 
-AnswerMatch matchAnswer(const HttpDialect &dialect, const HttpAnswer &answer,
-                        const std::string &requestId) {
-  std::string id = headerValue(answer.Headers, dialect.RequestIdHeader);
+ResponseMatch matchResponse(const HttpDialect &dialect,
+                            const HttpResponse &response,
+                            const std::string &requestId) {
+  std::string id = headerValue(response.Headers, dialect.RequestIdHeader);
   if (!id.empty() && id != requestId)
-    return AnswerMatch::Stray;
+    return ResponseMatch::Late;
   if (!dialect.IsIdFromCaller)
-    return AnswerMatch::Own;
-  bool hasProof = !headerValue(answer.Headers, dialect.ProofHeader).empty();
-  bool isEncoded = !headerValue(answer.Headers, "Content-Encoding").empty();
-  if (id.empty() || isEncoded || (isSuccess(answer) && !hasProof))
-    return AnswerMatch::Unusable;
-  return AnswerMatch::Own;
+    return ResponseMatch::Own;
+  bool hasProof = !headerValue(response.Headers, dialect.ProofHeader).empty();
+  bool isEncoded = !headerValue(response.Headers, "Content-Encoding").empty();
+  if (id.empty() || isEncoded || (isSuccess(response) && !hasProof))
+    return ResponseMatch::Unusable;
+  return ResponseMatch::Own;
 }
 
-bool repeatsId(const HttpDialect &dialect, const HttpAnswer &answer,
+bool repeatsId(const HttpDialect &dialect, const HttpResponse &response,
                const std::string &requestId) {
-  return headerValue(answer.Headers, dialect.RequestIdHeader) == requestId;
+  return headerValue(response.Headers, dialect.RequestIdHeader) == requestId;
 }
 
 std::string formatRetryAfter(const HttpDialect &dialect, Millis wait) {
--- a/src/libfleet/http/httpfront.cpp
+++ b/src/libfleet/http/httpserver.cpp
@@ -1,4 +1,4 @@
-#include "libfleet/http/httpfront.h"
+#include "libfleet/http/httpserver.h"
 
 #include "libfleet/base/clock.h"
 #include "libfleet/base/listening.h"
@@ -18,18 +18,19 @@
 
 namespace {
 
-/// Longest time for the body of a request, and for writing an answer.
+/// Time limits for reading the body of a request and for writing a response.
 constexpr auto BodyLimit = std::chrono::seconds(30);
 constexpr auto WriteLimit = std::chrono::seconds(30);
 
 constexpr std::size_t ReadBytes = 8 * 1024;
 
-/// What is read of a request that has been refused.
+/// Limits on reading and discarding the rest of a rejected request.
 constexpr auto DiscardLimit = std::chrono::seconds(2);
-constexpr std::size_t MostDiscarded = 64 * 1024 * 1024;
+constexpr std::size_t MaxDiscardedBytes = 64 * 1024 * 1024;
 
-/// Time in which the request that a connection was opened for has come.
-constexpr Micros FreshTerm = std::chrono::milliseconds(200);
+/// A new connection counts as busy for this long, because its first request may
+/// still be in flight.
+constexpr Micros NewConnectionGrace = std::chrono::milliseconds(200);
 
 /// One caller's connection.
 struct Session {
@@ -39,21 +40,23 @@
 
 } // namespace
 
-struct FrontState {
+struct ServerState {
   std::atomic<bool> IsStopping = false;
-  /// Requests from their first byte to the last of their answer.
+  /// Number of requests between their first byte and the last byte of their
+  /// response.
   std::atomic<int> Busy = 0;
   std::mutex Lock;
-  /// Connections that have been answered and wait for another request.
+  /// Keep-alive connections that wait for another request.
   std::set<std::shared_ptr<Session>> Idle;
 };
 
 namespace {
 
-/// Lists a connection as idle for as long as it lives.
+/// Lists a connection as idle during the lifetime of the guard.
 class IdleGuard {
 public:
-  IdleGuard(std::shared_ptr<FrontState> state, std::shared_ptr<Session> session)
+  IdleGuard(std::shared_ptr<ServerState> state,
+            std::shared_ptr<Session> session)
       : State(std::move(state)), Caller(std::move(session)) {
     std::lock_guard lock(State->Lock);
     State->Idle.insert(Caller);
@@ -66,14 +69,14 @@
   IdleGuard &operator=(const IdleGuard &) = delete;
 
 private:
-  std::shared_ptr<FrontState> State;
+  std::shared_ptr<ServerState> State;
   std::shared_ptr<Session> Caller;
 };
 
-/// Counts a request for as long as it lives.
+/// Counts a request as busy during the lifetime of the guard.
 class BusyGuard {
 public:
-  explicit BusyGuard(std::shared_ptr<FrontState> state)
+  explicit BusyGuard(std::shared_ptr<ServerState> state)
       : State(std::move(state)) {
     ++State->Busy;
   }
@@ -82,7 +85,7 @@
   BusyGuard &operator=(const BusyGuard &) = delete;
 
 private:
-  std::shared_ptr<FrontState> State;
+  std::shared_ptr<ServerState> State;
 };
 
 HttpRequest fromBeast(http::request<http::string_body> &&in) {
@@ -97,26 +100,26 @@
 }
 
 http::response<http::string_body>
-toBeast(const HttpAnswer &answer, const std::string &method, bool isKept) {
+toBeast(const HttpResponse &response, const std::string &method, bool isKept) {
   http::response<http::string_body> out;
   out.version(11);
-  out.result(unsigned(answer.Status));
-  for (const HttpHeader &it : answer.Headers)
+  out.result(unsigned(response.Status));
+  for (const HttpHeader &it : response.Headers)
     out.insert(it.Name, it.Value);
   out.keep_alive(isKept);
-  bool hasNoBody = answer.Status == 204 || answer.Status == 304;
+  bool hasNoBody = response.Status == 204 || response.Status == 304;
   if (hasNoBody)
     return out;
   if (method == "HEAD") {
-    out.content_length(answer.Content->size());
+    out.content_length(response.Content->size());
     return out;
   }
-  out.body() = *answer.Content;
+  out.body() = *response.Content;
   out.prepare_payload();
   return out;
 }
 
-/// Status for bytes that the parser has refused; 0 if the caller just left.
+/// HTTP status for an error in reading a request; 0 if the caller disconnected.
 int faultStatus(const error_code &ec) {
   if (ec == http::error::end_of_stream)
     return 0;
@@ -131,10 +134,10 @@
   return 0;
 }
 
-/// Watches for the caller's leaving while its request is served.
-void watch(const std::shared_ptr<Session> &session,
-           const std::shared_ptr<CallScope> &scope,
-           const std::shared_ptr<bool> &isServed) {
+/// Cancels the scope if the caller disconnects while its request is served.
+void watchForDisconnect(const std::shared_ptr<Session> &session,
+                        const std::shared_ptr<CallScope> &scope,
+                        const std::shared_ptr<bool> &isServed) {
   session->Stream.socket().async_wait(
       tcp::socket::wait_read, [session, scope, isServed](const error_code &ec) {
         if (ec || *isServed)
@@ -149,10 +152,11 @@
       });
 }
 
-asio::awaitable<void> writeAnswer(std::shared_ptr<Session> session,
-                                  const HttpAnswer &answer, std::string method,
-                                  bool isKept, error_code &ec) {
-  auto message = toBeast(answer, method, isKept);
+asio::awaitable<void> writeResponse(std::shared_ptr<Session> session,
+                                    const HttpResponse &response,
+                                    std::string method, bool isKept,
+                                    error_code &ec) {
+  auto message = toBeast(response, method, isKept);
   http::response_serializer<http::string_body> serializer(message);
   serializer.split(method == "HEAD");
   session->Stream.expires_after(WriteLimit);
@@ -165,8 +169,8 @@
                                asio::redirect_error(asio::use_awaitable, ec));
 }
 
-/// Waits for the first bytes of a request; false if the caller has left or
-/// stays idle.
+/// Waits for the first bytes of a request; returns false if the caller
+/// disconnects or stays idle.
 asio::awaitable<bool> awaitRequest(std::shared_ptr<Session> session,
                                    Millis idleLimit) {
   if (session->Buffer.size() > 0)
@@ -180,14 +184,15 @@
   co_return !ec;
 }
 
-/// Reads what a refused caller still sends, so that closing the connection does
-/// not reset it before the caller has read the answer.
+/// Reads and discards the rest of a rejected request. Closing a socket with
+/// unread data would reset the connection before the caller has read the
+/// response.
 asio::awaitable<void> discardRest(std::shared_ptr<Session> session) {
   error_code ec;
   session->Stream.socket().shutdown(tcp::socket::shutdown_send, ec);
   session->Stream.expires_after(DiscardLimit);
   std::size_t bytes = 0;
-  while (!ec && bytes < MostDiscarded) {
+  while (!ec && bytes < MaxDiscardedBytes) {
     session->Buffer.clear();
     bytes += co_await session->Stream.async_read_some(
         session->Buffer.prepare(ReadBytes),
@@ -202,7 +207,8 @@
                                   const HttpLimits &limits, error_code &ec) {
   parser.header_limit(limits.HeaderBytes);
   parser.body_limit(limits.BodyBytes.load());
-  // The stream's own expiry would close the connection before it is answered.
+  // The stream's own timeout would close the connection before the error
+  // response is written.
   session->Stream.expires_never();
   auto isLate = std::make_shared<bool>(false);
   asio::steady_timer timer(session->Stream.get_executor(),
@@ -227,8 +233,8 @@
 }
 
 asio::awaitable<void> serve(std::shared_ptr<Session> session,
-                            HttpFront::Lane lane, HttpFaultHandler onFault,
-                            std::shared_ptr<FrontState> state,
+                            HttpServer::Worker worker, HttpFaultHandler onFault,
+                            std::shared_ptr<ServerState> state,
                             std::shared_ptr<HttpLimits> limits) {
   error_code ec;
   session->Stream.socket().set_option(tcp::no_delay(true), ec);
@@ -246,7 +252,7 @@
     co_await readRequest(session, parser, *limits, ec);
     if (ec) {
       if (int status = faultStatus(ec)) {
-        co_await writeAnswer(session, onFault(status), "GET", false, ec);
+        co_await writeResponse(session, onFault(status), "GET", false, ec);
         co_await discardRest(session);
       }
       break;
@@ -257,16 +263,16 @@
     auto scope = std::make_shared<CallScope>();
     auto isServed = std::make_shared<bool>(false);
     session->Stream.expires_never();
-    if (lane.WatchesCaller)
-      watch(session, scope, isServed);
-    HttpAnswer answer = co_await lane.Handler(std::move(request), scope);
+    if (worker.WatchesCaller)
+      watchForDisconnect(session, scope, isServed);
+    HttpResponse response = co_await worker.Handler(std::move(request), scope);
     *isServed = true;
     if (scope->IsCancelled)
       break;
-    if (lane.WatchesCaller)
+    if (worker.WatchesCaller)
       session->Stream.socket().cancel(ec);
     isKept = isKept && !state->IsStopping;
-    co_await writeAnswer(session, answer, method, isKept, ec);
+    co_await writeResponse(session, response, method, isKept, ec);
     if (ec || !isKept)
       break;
   }
@@ -276,64 +282,65 @@
 
 } // namespace
 
-HttpFront::HttpFront(asio::any_io_executor ex, std::string address,
-                     std::vector<Lane> lanes, HttpFaultHandler onFault)
+HttpServer::HttpServer(asio::any_io_executor ex, std::string address,
+                       std::vector<Worker> workers, HttpFaultHandler onFault)
     : Executor(ex), Address(std::move(address)), Acceptor(ex),
-      Lanes(std::move(lanes)), OnFault(std::move(onFault)),
-      State(std::make_shared<FrontState>()) {}
+      Workers(std::move(workers)), OnFault(std::move(onFault)),
+      State(std::make_shared<ServerState>()) {}
 
-absl::Status HttpFront::listen() { return takeAddress(Acceptor, Address); }
+absl::Status HttpServer::listen() { return takeAddress(Acceptor, Address); }
 
-void HttpFront::start() {
+void HttpServer::start() {
   error_code ec;
   Acceptor.listen(asio::socket_base::max_listen_connections, ec);
   accept();
 }
 
-void HttpFront::wind() { State->IsStopping = true; }
+void HttpServer::beginDrain() { State->IsStopping = true; }
 
-void HttpFront::stop() {
+void HttpServer::stop() {
   State->IsStopping = true;
   error_code ec;
-  // Closing would reset those that wait to be accepted.
+  // Closing the acceptor would reset the connections that are pending.
   Acceptor.cancel(ec);
   Acceptor.non_blocking(true, ec);
   while (!ec) {
-    Lane &lane = Lanes[NextLane++ % Lanes.size()];
-    tcp::socket socket(lane.Executor);
+    Worker &worker = Workers[NextWorker++ % Workers.size()];
+    tcp::socket socket(worker.Executor);
     Acceptor.accept(socket, ec);
     if (!ec)
-      serveNext(lane, std::move(socket));
+      serveNext(worker, std::move(socket));
   }
   Acceptor.close(ec);
-  // A request on an idle connection might come too late to be finished.
+  // A request on an idle connection might arrive too late to be completed.
   std::lock_guard lock(State->Lock);
   for (const std::shared_ptr<Session> &it : State->Idle)
     asio::post(it->Stream.get_executor(), [it] { it->Stream.cancel(); });
 }
 
-bool HttpFront::isBusy() const {
-  return State->Busy > 0 || now() - AcceptedAt < FreshTerm;
+bool HttpServer::isBusy() const {
+  return State->Busy > 0 || now() - AcceptedAt < NewConnectionGrace;
 }
 
-void HttpFront::serveNext(Lane &lane, tcp::socket socket) {
+void HttpServer::serveNext(Worker &worker, tcp::socket socket) {
   AcceptedAt = now();
   auto session = std::make_shared<Session>(
       Session{beast::tcp_stream(std::move(socket)), {}});
-  asio::co_spawn(lane.Executor, serve(session, lane, OnFault, State, Limits),
+  asio::co_spawn(worker.Executor,
+                 serve(session, worker, OnFault, State, Limits),
                  asio::detached);
 }
 
-void HttpFront::accept() {
-  Lane &lane = Lanes[NextLane++ % Lanes.size()];
-  Acceptor.async_accept(
-      lane.Executor, [this, &lane](const error_code &ec, tcp::socket socket) {
-        if (ec == asio::error::operation_aborted)
-          return;
-        if (!ec)
-          serveNext(lane, std::move(socket));
-        accept();
-      });
+void HttpServer::accept() {
+  Worker &worker = Workers[NextWorker++ % Workers.size()];
+  Acceptor.async_accept(worker.Executor, [this, &worker](const error_code &ec,
+                                                         tcp::socket socket) {
+    if (ec == asio::error::operation_aborted)
+      return;
+    if (!ec)
+      serveNext(worker, std::move(socket));
+    accept();
+  });
 }
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/log/logclient.h
+++ b/src/libfleet/log/logclient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libfleet/http/httpcaller.h"
+#include "libfleet/http/httpclient.h"
 #include "libhickoryglade/instant.h"
 
 #include <cstdint>
@@ -57,7 +57,7 @@
   asio::awaitable<ReadResult> read(std::int64_t from, Millis wait);
 
 private:
-  HttpCaller Caller;
+  HttpClient Caller;
   std::string Stream;
 };
 
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -158,7 +158,7 @@
   frame.__isset.keyRequest = true;
   client->channel().send(std::move(frame));
   std::optional<StreamEvent> event = co_await box->next(now() + VouchLimit);
-  client->forget(stream);
+  client->closeStream(stream);
   auto *reply = event ? std::get_if<wire::KeyReply>(&event->Content) : nullptr;
   co_return reply && reply->verdict == int(KeyVerdict::Granted);
 }
@@ -190,7 +190,7 @@
   while (!IsLeaving) {
     DirectoryEntry own{Facts.AdvertisedAddress, Facts.DataCentre};
     if (!isEntered)
-      isEntered = co_await Directory->enter(Facts.Node, std::move(own));
+      isEntered = co_await Directory->registerNode(Facts.Node, std::move(own));
     auto entries = co_await Directory->list();
     if (entries)
       Members.addSeeds(chooseSeeds(std::move(*entries)));
@@ -235,7 +235,7 @@
   else
     record.SettingsNext = Settings.state().Next;
   record.LedgerNext = Leases.agent().Ledger.Next;
-  Members.describe(record, isUrgent);
+  Members.publishSelf(record, isUrgent);
 }
 
 void Control::setEndpoints(std::vector<EndpointRecord> endpoints,
@@ -258,7 +258,7 @@
   OwnStandings.States = std::move(states);
   ++OwnStandings.Sequence;
   applyReport(Standings, OwnStandings, now());
-  Members.spreadStandings(OwnStandings);
+  Members.broadcastStandings(OwnStandings);
   repeatStandings();
 }
 
@@ -272,7 +272,7 @@
     if (!OwnStandings.States.empty()) {
       ++OwnStandings.Sequence;
       applyReport(Standings, OwnStandings, now());
-      Members.spreadStandings(OwnStandings);
+      Members.broadcastStandings(OwnStandings);
     }
     if (expireReports(Standings, now()))
       scheduleRebuild();
@@ -284,7 +284,7 @@
 void Control::noteCrash(std::uint64_t fingerprint, const CrashRecord &record) {
   if (mergeCrash(Crashes, fingerprint, record))
     scheduleRebuild();
-  Members.spreadCrash(fingerprint, record);
+  Members.broadcastCrash(fingerprint, record);
 }
 
 void Control::leave() {
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -80,7 +80,7 @@
       return;
     if (isReader() && Settings.isLogReachable() && Settings.isLoaded() &&
         !isBehind())
-      Members.spreadSettings(peers(Members.state()).size(), true);
+      Members.sendSettingsVersion(peers(Members.state()).size(), true);
     beatSettings();
   });
 }
@@ -91,7 +91,7 @@
     return;
   SpreadNext = next;
   bool isFresh = isReader() && Settings.isLogReachable();
-  Members.spreadSettings(
+  Members.sendSettingsVersion(
       isFresh ? peers(Members.state()).size() : SettingsFanOut, isFresh);
 }
 
@@ -171,7 +171,7 @@
     client->channel().send(std::move(frame));
     std::optional<StreamEvent> event =
         co_await box->next(now() + SnapshotLimit);
-    client->forget(stream);
+    client->closeStream(stream);
     auto *content =
         event ? std::get_if<wire::Snapshot>(&event->Content) : nullptr;
     if (!content || content->settingsOffset < 0)
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -4,7 +4,7 @@
 #include "libfleet/base/loop.h"
 #include "libfleet/entry/entry.h"
 #include "libfleet/gate/gateservice.h"
-#include "libfleet/http/httpfront.h"
+#include "libfleet/http/httpserver.h"
 #include "libfleet/keys/keyservice.h"
 #include "libfleet/node/adminfront.h"
 #include "libfleet/node/control.h"
@@ -32,13 +32,13 @@
 constexpr Millis HandOnLimit = std::chrono::seconds(2);
 constexpr Millis StopPoll = std::chrono::milliseconds(20);
 
-HttpAnswer faultAnswer(int status) {
+HttpResponse faultAnswer(int status) {
   ErrorKind kind = status == 431   ? ErrorKind::HeadersTooLarge
                    : status == 413 ? ErrorKind::BodyTooLarge
                    : status == 408 ? ErrorKind::RequestTimeout
                                    : ErrorKind::BadRequest;
   const ErrorInfo &row = errorInfo(kind);
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.Status = row.Status;
   answer.Headers.push_back({"Content-Type", "application/problem+json"});
   answer.Content = std::make_shared<const std::string>(nlohmann::json{
@@ -67,7 +67,7 @@
   bool stop();
   bool reload(const NodeSettings &settings);
   void applyView(const FleetViewPtr &view);
-  HttpAnswer readiness() const;
+  HttpResponse readiness() const;
   asio::awaitable<bool> depart(std::string endpoint);
   void connectLocal(Entry &entry, Loop &loop);
   void takeFrame(const std::shared_ptr<FrameChannel> &from, wire::Frame frame);
@@ -90,13 +90,13 @@
   std::unique_ptr<RevokeRelay> Relay;
   std::map<std::string, Instant> Ejected;
   std::unique_ptr<LinkServer> Server;
-  std::unique_ptr<HttpFront> Callers;
+  std::unique_ptr<HttpServer> Callers;
   std::unique_ptr<AdminFront> Admin;
-  std::unique_ptr<HttpFront> AdminHttp;
-  std::unique_ptr<HttpFront> ReadyHttp;
-  std::unique_ptr<HttpFront> MetricsHttp;
+  std::unique_ptr<HttpServer> AdminHttp;
+  std::unique_ptr<HttpServer> ReadyHttp;
+  std::unique_ptr<HttpServer> MetricsHttp;
   const PlatformAdapter *Platform = nullptr;
-  HttpDialect Dialect = ownDialect();
+  HttpDialect Dialect = defaultDialect();
   std::atomic<bool> IsReady = false;
   std::atomic<bool> IsLeaving = false;
 };
@@ -154,7 +154,7 @@
   Gate = std::make_unique<GateService>(gateThread, Facts, BootId, Dialect,
                                        Counters, std::move(gateEvents));
 
-  std::vector<HttpFront::Lane> lanes;
+  std::vector<HttpServer::Worker> lanes;
   for (std::size_t i = 0; i < Traffic.size(); ++i) {
     Entries.push_back(std::make_unique<Entry>(
         Traffic[i]->Io.get_executor(), Facts, BootId, i, Dialect, Counters));
@@ -175,8 +175,8 @@
       [this](const std::shared_ptr<FrameChannel> &from, wire::Frame frame) {
         takeFrame(from, std::move(frame));
       });
-  Callers = std::make_unique<HttpFront>(gateThread, Facts.HttpAddress,
-                                        std::move(lanes), faultAnswer);
+  Callers = std::make_unique<HttpServer>(gateThread, Facts.HttpAddress,
+                                         std::move(lanes), faultAnswer);
   AdminFront::Events adminEvents;
   adminEvents.OnAnnounce = [this](Announcement facts) {
     return announce(std::move(facts));
@@ -192,18 +192,18 @@
     adminEvents.ParseMessage = Platform->ParseEndpointMessage;
   Admin = std::make_unique<AdminFront>(control, *Brain, Counters,
                                        std::move(adminEvents));
-  std::vector<HttpFront::Lane> adminLanes{
+  std::vector<HttpServer::Worker> adminLanes{
       {gateThread,
        [this](HttpRequest request, std::shared_ptr<CallScope>) {
          return Admin->serve(std::move(request));
        },
        false}};
-  AdminHttp = std::make_unique<HttpFront>(gateThread, Facts.AdminAddress,
-                                          std::move(adminLanes), faultAnswer);
+  AdminHttp = std::make_unique<HttpServer>(gateThread, Facts.AdminAddress,
+                                           std::move(adminLanes), faultAnswer);
   if (!Facts.MetricsAddress.empty())
-    MetricsHttp = std::make_unique<HttpFront>(
+    MetricsHttp = std::make_unique<HttpServer>(
         gateThread, Facts.MetricsAddress,
-        std::vector<HttpFront::Lane>{
+        std::vector<HttpServer::Worker>{
             {gateThread,
              [this](HttpRequest request, std::shared_ptr<CallScope>) {
                return Admin->serveMetrics(std::move(request));
@@ -212,19 +212,19 @@
         faultAnswer);
   if (Facts.ReadyAddress.empty())
     return;
-  std::vector<HttpFront::Lane> readyLanes{
+  std::vector<HttpServer::Worker> readyLanes{
       {gateThread,
        [this](HttpRequest, std::shared_ptr<CallScope>)
-           -> asio::awaitable<HttpAnswer> { co_return readiness(); },
+           -> asio::awaitable<HttpResponse> { co_return readiness(); },
        false}};
-  ReadyHttp = std::make_unique<HttpFront>(gateThread, Facts.ReadyAddress,
-                                          std::move(readyLanes), faultAnswer);
+  ReadyHttp = std::make_unique<HttpServer>(gateThread, Facts.ReadyAddress,
+                                           std::move(readyLanes), faultAnswer);
 }
 
-HttpAnswer Node::Parts::readiness() const {
+HttpResponse Node::Parts::readiness() const {
   constexpr int ok = 200;
   constexpr int unavailable = 503;
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.Status = IsReady && !IsLeaving ? ok : unavailable;
   return answer;
 }
@@ -259,7 +259,7 @@
   if (frame.__isset.keyRequest)
     return Keys->takeFrame(from, frame);
   if (frame.__isset.revoke && !frame.revoke.askedNode.empty())
-    return Relay->take(from, frame);
+    return Relay->forward(from, frame);
   if (!frame.__isset.snapshotRequest)
     return Gate->takeFrame(from, std::move(frame));
   asio::post(ControlLoop.Io, [this, from, stream = frame.stream] {
@@ -412,13 +412,13 @@
     return true;
   });
   Traffic[0]->call([this] {
-    Callers->wind();
+    Callers->beginDrain();
     Gate->drainNow();
     return true;
   });
   for (std::size_t i = 0; i < Entries.size(); ++i)
     Traffic[i]->call([this, i] {
-      Entries[i]->wind();
+      Entries[i]->beginDrain();
       return true;
     });
   if (!Platform)
@@ -435,7 +435,8 @@
         return true;
       });
     for (std::size_t i = 0; i < Entries.size(); ++i)
-      asio::post(Traffic[i]->Io, [this, i, end] { Entries[i]->settle(end); });
+      asio::post(Traffic[i]->Io,
+                 [this, i, end] { Entries[i]->enforceShutdownDeadline(end); });
     isClean = hasLingered && isQuiet();
   }
   for (auto &loop : Traffic)
--- a/src/libfleet/peers/gateclient.cpp
+++ b/src/libfleet/peers/gateclient.cpp
@@ -12,15 +12,15 @@
                               std::size_t tag) {
   std::int64_t id = NextStream++;
   Streams[id] = {std::move(mailbox), tag, std::nullopt, {}};
-  countChanged();
+  notifyStreamCount();
   return id;
 }
 
-void GateClient::forget(std::int64_t stream) {
+void GateClient::closeStream(std::int64_t stream) {
   if (Streams.erase(stream) == 0)
     return;
   Channel->dropBody(stream);
-  countChanged();
+  notifyStreamCount();
 }
 
 bool GateClient::takeFrame(wire::Frame frame) {
@@ -49,7 +49,7 @@
     put(std::move(frame.snapshot));
   else
     return false;
-  forget(frame.stream);
+  closeStream(frame.stream);
   return true;
 }
 
@@ -78,29 +78,29 @@
 }
 
 void GateClient::finishAnswer(std::int64_t id, Stream &stream) {
-  HttpAnswer answer{
+  HttpResponse answer{
       stream.Head->status, fromWire(stream.Head->headers),
       std::make_shared<const std::string>(std::move(stream.Content))};
   stream.Box->put(
       {stream.Tag, AnswerEvent{std::move(answer), stream.Head->endpoint,
                                stream.Head->load, Micros(stream.Head->runUs)}});
-  forget(id);
+  closeStream(id);
 }
 
-void GateClient::lose() {
+void GateClient::failStreams() {
   std::map<std::int64_t, Stream> lost = std::move(Streams);
   Streams.clear();
   for (auto &[id, stream] : lost)
     stream.Box->put({stream.Tag, LostEvent{}});
-  countChanged();
+  notifyStreamCount();
 }
 
-void GateClient::countChanged() {
+void GateClient::notifyStreamCount() {
   if (OnStreamCount)
     OnStreamCount(Streams.size());
 }
 
-wire::Frame toFrame(const HttpAnswer &answer, const std::string &endpoint,
+wire::Frame toFrame(const HttpResponse &answer, const std::string &endpoint,
                     const wire::Load &load, Micros runTime) {
   wire::Frame frame;
   frame.answer.status = answer.Status;
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -15,14 +15,15 @@
 
 namespace {
 
-/// Due times that are past do not make the service spin.
-constexpr Micros LeastTickGap = std::chrono::milliseconds(10);
+/// Keeps the service from spinning on due times in the past.
+constexpr Micros MinTickInterval = std::chrono::milliseconds(10);
 
-/// Members told at once of a change; the others hear of it by gossip.
+/// Members to which an urgent change is sent at once; the others receive it by
+/// gossip.
 constexpr std::size_t UrgentFanOut = 32;
 
-/// Members to whom news of a crash is passed on by each who hears it first.
-constexpr std::size_t CrashForwards = 4;
+/// Members to which a node forwards a crash record that is new to it.
+constexpr std::size_t CrashFanOut = 4;
 
 std::optional<udp::endpoint> toEndpoint(const std::string &address) {
   std::optional<Address> parsed = parseAddress(address);
@@ -38,8 +39,8 @@
                                      TrafficCounters &traffic,
                                      Membership initial, Events events)
     : Socket(io), Timer(io), ListenAddress(std::move(listenAddress)),
-      Traffic(traffic), Kernel(std::move(initial)),
-      Handlers(std::move(events)) {}
+      Traffic(traffic), State(std::move(initial)), Handlers(std::move(events)) {
+}
 
 absl::Status MembershipService::start() {
   std::optional<udp::endpoint> at = toEndpoint(ListenAddress);
@@ -58,49 +59,49 @@
   return absl::OkStatus();
 }
 
-void MembershipService::describe(const MemberRecord &record, bool isUrgent) {
-  std::int64_t before = Kernel.Revision;
-  updateSelf(Kernel, record);
-  if (isUrgent && Kernel.Revision != before)
-    send(broadcastSelf(Kernel, UrgentFanOut));
+void MembershipService::publishSelf(const MemberRecord &record, bool isUrgent) {
+  std::int64_t before = State.Revision;
+  updateSelf(State, record);
+  if (isUrgent && State.Revision != before)
+    send(broadcastSelf(State, UrgentFanOut));
   reportChange();
 }
 
 void MembershipService::addSeeds(const std::vector<std::string> &addresses) {
-  hickoryglade::addSeeds(Kernel, addresses, now());
+  hickoryglade::addSeeds(State, addresses, now());
   scheduleTick();
 }
 
-void MembershipService::spreadCrash(std::uint64_t fingerprint,
-                                    const CrashRecord &record) {
+void MembershipService::broadcastCrash(std::uint64_t fingerprint,
+                                       const CrashRecord &record) {
   mergeCrash(Known, fingerprint, record);
-  sendCrash(fingerprint, record, peers(Kernel).size());
+  sendCrash(fingerprint, record, peers(State).size());
 }
 
 wire::Gossip MembershipService::ownGossip() const {
   wire::Gossip gossip;
   gossip.kind = wire::GossipKind::UPDATES;
-  gossip.sender = Kernel.Self;
-  gossip.senderAddress = Kernel.Members.at(Kernel.Self).Record.FleetAddress;
-  if (Kernel.SettingsNext > 0)
-    gossip.__set_settingsNext(Kernel.SettingsNext);
+  gossip.sender = State.Self;
+  gossip.senderAddress = State.Members.at(State.Self).Record.FleetAddress;
+  if (State.SettingsNext > 0)
+    gossip.__set_settingsNext(State.SettingsNext);
   return gossip;
 }
 
-void MembershipService::spreadStandings(const StandingReport &report) {
+void MembershipService::broadcastStandings(const StandingReport &report) {
   wire::Gossip gossip = ownGossip();
   gossip.__set_standings(toWire(report));
   std::string bytes = encodeGossip(gossip);
-  for (const Member *peer : nearPeers(Kernel))
+  for (const Member *peer : nearPeers(State))
     sendBytes(peer->Record.FleetAddress, bytes, TrafficCause::Standings);
 }
 
-void MembershipService::spreadSettings(std::size_t fanOut, bool isFresh) {
+void MembershipService::sendSettingsVersion(std::size_t fanOut, bool isFresh) {
   wire::Gossip gossip = ownGossip();
   gossip.isSettingsFresh = isFresh;
   std::string bytes = encodeGossip(gossip);
-  std::vector<const Member *> targets = nearPeers(Kernel);
-  std::ranges::shuffle(targets, Kernel.Rng);
+  std::vector<const Member *> targets = nearPeers(State);
+  std::ranges::shuffle(targets, State.Rng);
   targets.resize(std::min(targets.size(), fanOut));
   for (const Member *target : targets)
     sendBytes(target->Record.FleetAddress, bytes, TrafficCause::Settings);
@@ -116,8 +117,8 @@
   it.remainingMs = toMillis(record.Expiry - now()).count();
   gossip.quarantines.push_back(it);
   std::string bytes = encodeGossip(gossip);
-  std::vector<const Member *> targets = peers(Kernel);
-  std::ranges::shuffle(targets, Kernel.Rng);
+  std::vector<const Member *> targets = peers(State);
+  std::ranges::shuffle(targets, State.Rng);
   targets.resize(std::min(targets.size(), fanOut));
   for (const Member *target : targets)
     sendBytes(target->Record.FleetAddress, bytes);
@@ -129,27 +130,27 @@
                               if (ec == asio::error::operation_aborted)
                                 return;
                               if (!ec)
-                                take(n);
+                                handleDatagram(n);
                               receiveNext();
                             });
 }
 
-void MembershipService::take(std::size_t n) {
+void MembershipService::handleDatagram(std::size_t n) {
   auto gossip = decodeGossip(std::string_view(Buffer.data(), n));
   auto message = gossip ? fromWire(*gossip) : std::nullopt;
   if (!message) {
     logEvent(LogLevel::Warn, "gossip_malformed", {{"bytes", n}});
     return;
   }
-  std::int64_t newest = Kernel.NewestSettings.Next;
-  bool wasProbing = Kernel.Pending.has_value();
-  send(receive(Kernel, *message, now()));
-  if (!Kernel.DepartedBeforeRestart.empty() && Handlers.OnDeparted)
-    Handlers.OnDeparted(std::exchange(Kernel.DepartedBeforeRestart, {}));
-  // Spares the wake-up at which the probe would have been late.
-  if (wasProbing && !Kernel.Pending)
+  std::int64_t newest = State.NewestSettings.Next;
+  bool wasProbing = State.Pending.has_value();
+  send(receive(State, *message, now()));
+  if (!State.DepartedBeforeRestart.empty() && Handlers.OnDeparted)
+    Handlers.OnDeparted(std::exchange(State.DepartedBeforeRestart, {}));
+  // The probe has been answered: avoids the wake-up at its timeout.
+  if (wasProbing && !State.Pending)
     scheduleTick();
-  if (Kernel.NewestSettings.Next > newest && Handlers.OnNewerSettings)
+  if (State.NewestSettings.Next > newest && Handlers.OnNewerSettings)
     Handlers.OnNewerSettings();
   takeCrashes(*gossip);
   if (gossip->isSettingsFresh && Handlers.OnFreshSettings)
@@ -169,7 +170,7 @@
     if (!mergeCrash(Known, fingerprint, record))
       continue;
     Handlers.OnCrash(fingerprint, record);
-    sendCrash(fingerprint, Known.Records[fingerprint], CrashForwards);
+    sendCrash(fingerprint, Known.Records[fingerprint], CrashFanOut);
   }
 }
 
@@ -185,36 +186,36 @@
   if (!to)
     return;
   error_code ec;
-  // Standings and settings are told to the own data centre only.
+  // Standings and settings are sent within the data centre only.
   bool isBroad = cause == TrafficCause::Membership;
   Traffic.note(cause, isBroad && isFar(address), bytes.size());
   Socket.send_to(asio::buffer(bytes), *to, 0, ec);
 }
 
 bool MembershipService::isFar(const std::string &address) const {
-  const std::string &own = Kernel.Members.at(Kernel.Self).Record.DataCentre;
-  return std::ranges::none_of(Kernel.Members, [&](const auto &it) {
+  const std::string &own = State.Members.at(State.Self).Record.DataCentre;
+  return std::ranges::none_of(State.Members, [&](const auto &it) {
     const MemberRecord &record = it.second.Record;
     return record.DataCentre == own && record.FleetAddress == address;
   });
 }
 
 void MembershipService::scheduleTick() {
-  Instant due = std::max(nextDue(Kernel), now() + LeastTickGap);
+  Instant due = std::max(nextDue(State), now() + MinTickInterval);
   Timer.expires_at(toSteady(due));
   Timer.async_wait([this](const error_code &ec) {
     if (ec)
       return;
-    send(tick(Kernel, now()));
+    send(tick(State, now()));
     reportChange();
     scheduleTick();
   });
 }
 
 void MembershipService::reportChange() {
-  if (Kernel.Revision == ReportedRevision)
+  if (State.Revision == ReportedRevision)
     return;
-  ReportedRevision = Kernel.Revision;
+  ReportedRevision = State.Revision;
   Handlers.OnChange();
 }
 
--- a/src/libfleet/peers/peerlinks.cpp
+++ b/src/libfleet/peers/peerlinks.cpp
@@ -9,15 +9,16 @@
 
 namespace {
 
-/// Longest time for a connection and the hellos over it, and how much of it a
-/// request waits before it goes elsewhere.
+/// Time limit for the connection and the exchange of hello frames. A request
+/// waits at most RequestConnectLimit of it before it tries another gate.
 constexpr Micros ConnectLimit = std::chrono::milliseconds(500);
-constexpr Micros RequestPatience = std::chrono::milliseconds(200);
+constexpr Micros RequestConnectLimit = std::chrono::milliseconds(200);
 constexpr Micros PollPeriod = std::chrono::milliseconds(2);
 
-/// A lost path is left alone this long, doubling with further losses.
-constexpr Micros FirstDown = std::chrono::milliseconds(250);
-constexpr int MostDoublings = 3;
+/// Backoff after the first loss of a link. It doubles with each further loss,
+/// at most MaxDoublings times.
+constexpr Micros InitialBackoff = std::chrono::milliseconds(250);
+constexpr int MaxDoublings = 3;
 
 } // namespace
 
@@ -34,22 +35,22 @@
 PeerLinks::connect(std::string node, const NodeView &view, Instant until) {
   if (node == LocalNode)
     co_return Local;
-  until = std::min(until, now() + RequestPatience);
+  until = std::min(until, now() + RequestConnectLimit);
   std::string address = view.FleetAddress;
   while (true) {
     Peer &peer = Peers[node];
     bool isMoved = peer.Connection && peer.Address != address;
     if (isMoved)
-      peer.Connection->close("the node has moved");
+      peer.Connection->close("the node's address has changed");
     if (peer.Client && peer.Connection && peer.Connection->isOpen() &&
         peer.Connection->peer())
       co_return peer.Client;
     if (now() >= until)
       co_return nullptr;
-    bool isResting = now() < peer.DownUntil;
-    if (isResting && peer.DownUntil >= until)
+    bool isBackingOff = now() < peer.DownUntil;
+    if (isBackingOff && peer.DownUntil >= until)
       co_return nullptr;
-    if (!isResting && !peer.IsConnecting && !peer.Connection) {
+    if (!isBackingOff && !peer.IsConnecting && !peer.Connection) {
       peer.IsConnecting = true;
       asio::co_spawn(Executor, open(node, address), asio::detached);
     }
@@ -77,7 +78,7 @@
   Peer &peer = Peers[node];
   peer.IsConnecting = false;
   if (ec || !socket->is_open()) {
-    noteDown(node);
+    startBackoff(node);
     co_return;
   }
   auto slot = std::make_shared<GateClient *>(nullptr);
@@ -113,21 +114,21 @@
     peer.Client = nullptr;
     peer.Connection = nullptr;
     *slot = nullptr;
-    noteDown(node);
+    startBackoff(node);
     if (client)
-      client->lose();
+      client->failStreams();
   };
   return events;
 }
 
-void PeerLinks::noteDown(const std::string &node) {
+void PeerLinks::startBackoff(const std::string &node) {
   Peer &peer = Peers[node];
-  Micros pause = FirstDown * (1 << std::min(peer.Losses, MostDoublings));
+  Micros pause = InitialBackoff * (1 << std::min(peer.Losses, MaxDoublings));
   ++peer.Losses;
   peer.DownUntil = now() + pause;
 }
 
-/// A path that was lost counts again once a connection over it stands.
+/// A lost path is up again once a new connection over it is established.
 bool PeerLinks::isPathUp(const std::string &node, Instant now) const {
   auto it = Peers.find(node);
   if (it == Peers.end() || it->second.Losses == 0)
@@ -136,8 +137,8 @@
   return peer.Connection && peer.Connection->peer() && now >= peer.DownUntil;
 }
 
-void PeerLinks::tryAgain(const std::string &node, const NodeView &view,
-                         Instant now) {
+void PeerLinks::reconnectIfDue(const std::string &node, const NodeView &view,
+                               Instant now) {
   auto it = Peers.find(node);
   if (it == Peers.end() || it->second.Losses == 0)
     return;
--- a/src/libfleet/peers/revokerelay.h
+++ b/src/libfleet/peers/revokerelay.h
@@ -13,21 +13,21 @@
 
 class PeerLinks;
 
-/// Asks gates what became of attempts, for nodes that have lost their own path
-/// to them.
+/// Queries gates for the outcomes of attempts on behalf of nodes that have lost
+/// their own path to the gate.
 class RevokeRelay {
 public:
   RevokeRelay(asio::any_io_executor ex, PeerLinks &links);
 
   void applyView(FleetViewPtr view) { View = std::move(view); }
 
-  void take(const std::shared_ptr<FrameChannel> &from,
-            const wire::Frame &frame);
+  void forward(const std::shared_ptr<FrameChannel> &from,
+               const wire::Frame &frame);
 
 private:
-  asio::awaitable<void> carry(std::weak_ptr<FrameChannel> from,
-                              std::int64_t stream, wire::Revoke question);
-  asio::awaitable<std::optional<StreamEvent>> ask(wire::Revoke question);
+  asio::awaitable<void> forwardQuery(std::weak_ptr<FrameChannel> from,
+                                     std::int64_t stream, wire::Revoke query);
+  asio::awaitable<std::optional<StreamEvent>> queryGate(wire::Revoke query);
 
   asio::any_io_executor Executor;
   PeerLinks &Links;
