--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -222,9 +222,9 @@
   if (done != Results.end())
     return reply(ref, *done->Result, "", done->Endpoint);
   GateActions actions;
-  Instant forgetAt = now() + Millis(revokeFrame.timeoutMs) + RevokeMemory;
+  Instant expiresAt = now() + Millis(revokeFrame.timeoutMs) + RevokeMemory;
   StartState state =
-      revoke(Kernel, revokeFrame.attemptId, forgetAt, now(), actions);
+      revoke(Kernel, revokeFrame.attemptId, expiresAt, now(), actions);
   auto exchange = Exchanges.find(revokeFrame.attemptId);
   if (state == StartState::Started && exchange != Exchanges.end()) {
     exchange->second->Followers.push_back(ref);
--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -155,7 +155,7 @@
     actions = withdraw(gate, departed.Name, now);
   DepartedEndpoint &known = gate.Departed[departed.Name];
   known.StartedAtMs = std::max(known.StartedAtMs, departed.StartedAtMs);
-  known.ForgetAt = now + DepartedRetention;
+  known.ExpiresAt = now + DepartedRetention;
   return actions;
 }
 
@@ -216,7 +216,7 @@
     refuse(actions, ticket.AttemptId, std::move(*fault));
     return actions;
   }
-  gate.Ledger.noteWaiting(ticket.AttemptId, forgetAt(ticket));
+  gate.Ledger.noteWaiting(ticket.AttemptId, ledgerExpiry(ticket));
   auto share = service.Shares.find(ticket.Workspace);
   service.Queue.push(std::move(waiting),
                      share == service.Shares.end() ? 1 : share->second,
@@ -301,9 +301,9 @@
   return actions;
 }
 
-StartState revoke(Gate &gate, const std::string &attempt, Instant forgetAt,
+StartState revoke(Gate &gate, const std::string &attempt, Instant expiresAt,
                   Instant now, GateActions &actions) {
-  StartState state = gate.Ledger.revoke(attempt, forgetAt);
+  StartState state = gate.Ledger.revoke(attempt, expiresAt);
   if (state != StartState::Fenced)
     return state;
   GateActions more = cancel(gate, attempt, now);
@@ -361,7 +361,7 @@
     dispatch(gate, name, now, actions);
   }
   std::erase_if(gate.Departed,
-                [&](const auto &it) { return it.second.ForgetAt <= now; });
+                [&](const auto &it) { return it.second.ExpiresAt <= now; });
   gate.Ledger.forget(now);
   expireCrashes(gate.Crashes, now);
   return actions;
--- a/src/libhickoryglade/gate.h
+++ b/src/libhickoryglade/gate.h
@@ -77,7 +77,7 @@
 /// recognized and ignored.
 struct DepartedEndpoint {
   std::int64_t StartedAtMs = 0;
-  Instant ForgetAt;
+  Instant ExpiresAt;
 };
 
 /// State of one node's gate. All requests to the endpoints announced to the
@@ -141,7 +141,7 @@
                      AttemptOutcome outcome, Instant now);
 
 /// Fences an attempt that has not started; returns the attempt's state.
-StartState revoke(Gate &gate, const std::string &attempt, Instant forgetAt,
+StartState revoke(Gate &gate, const std::string &attempt, Instant expiresAt,
                   Instant now, GateActions &actions);
 
 /// Grants or renews an ejection lease until a time; ends it if there is none.
--- a/src/libhickoryglade/gatequeue.cpp
+++ b/src/libhickoryglade/gatequeue.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-Instant forgetAt(const Ticket &ticket) {
+Instant ledgerExpiry(const Ticket &ticket) {
   return ticket.Deadline + LedgerMargin;
 }
 
@@ -32,7 +32,7 @@
   const Ticket &ticket = holder.Request;
   holder.IsStarted = true;
   holder.Since = now;
-  if (gate.Ledger.tryStart(ticket.AttemptId, forgetAt(ticket))) {
+  if (gate.Ledger.tryStart(ticket.AttemptId, ledgerExpiry(ticket))) {
     gate.Services[ticket.Service].Repeats.record(ticket.IsRepeat, now);
     actions.push_back(StartAction{ticket.AttemptId, endpoint.Announced.Name});
     return;
@@ -127,7 +127,7 @@
     GateEndpoint *unused = nullptr;
     auto holder = release(gate, attempt, unused);
     if (holder)
-      gate.Ledger.revoke(attempt, forgetAt(holder->Request));
+      gate.Ledger.revoke(attempt, ledgerExpiry(holder->Request));
     refuse(actions, attempt,
            notRun(ErrorKind::GrantLapsed, "the body did not arrive in time",
                   Millis{0}));
--- a/src/libhickoryglade/gatequeue.h
+++ b/src/libhickoryglade/gatequeue.h
@@ -5,7 +5,7 @@
 namespace hickoryglade {
 
 /// Time until which late copies of an attempt must be recognized.
-Instant forgetAt(const Ticket &ticket);
+Instant ledgerExpiry(const Ticket &ticket);
 
 /// Assigns a slot to a request: starts it, or grants the slot until its body
 /// arrives.
--- a/src/libhickoryglade/startledger.cpp
+++ b/src/libhickoryglade/startledger.cpp
@@ -9,16 +9,16 @@
   return it == Records.end() ? StartState::Unseen : it->second.State;
 }
 
-void StartLedger::noteWaiting(const std::string &attempt, Instant forgetAt) {
+void StartLedger::noteWaiting(const std::string &attempt, Instant expiresAt) {
   if (stateOf(attempt) == StartState::Unseen)
-    put(attempt, StartState::Waiting, forgetAt);
+    put(attempt, StartState::Waiting, expiresAt);
 }
 
-bool StartLedger::tryStart(const std::string &attempt, Instant forgetAt) {
+bool StartLedger::tryStart(const std::string &attempt, Instant expiresAt) {
   StartState state = stateOf(attempt);
   if (state != StartState::Unseen && state != StartState::Waiting)
     return false;
-  put(attempt, StartState::Started, forgetAt);
+  put(attempt, StartState::Started, expiresAt);
   return true;
 }
 
@@ -28,30 +28,30 @@
     it->second.State = StartState::Finished;
 }
 
-StartState StartLedger::revoke(const std::string &attempt, Instant forgetAt) {
+StartState StartLedger::revoke(const std::string &attempt, Instant expiresAt) {
   StartState state = stateOf(attempt);
   if (state == StartState::Unseen || state == StartState::Waiting)
-    put(attempt, StartState::Fenced, forgetAt);
+    put(attempt, StartState::Fenced, expiresAt);
   return stateOf(attempt);
 }
 
 void StartLedger::forget(Instant now) {
-  while (!ByForgetAt.empty() && ByForgetAt.begin()->first <= now) {
-    auto record = Records.find(ByForgetAt.begin()->second);
-    if (record != Records.end() && record->second.ForgetAt <= now)
+  while (!ByExpiry.empty() && ByExpiry.begin()->first <= now) {
+    auto record = Records.find(ByExpiry.begin()->second);
+    if (record != Records.end() && record->second.ExpiresAt <= now)
       Records.erase(record);
-    ByForgetAt.erase(ByForgetAt.begin());
+    ByExpiry.erase(ByExpiry.begin());
   }
 }
 
 void StartLedger::put(const std::string &attempt, StartState state,
-                      Instant forgetAt) {
+                      Instant expiresAt) {
   auto [it, isNew] = Records.try_emplace(attempt);
   it->second.State = state;
-  if (!isNew && it->second.ForgetAt >= forgetAt)
+  if (!isNew && it->second.ExpiresAt >= expiresAt)
     return;
-  it->second.ForgetAt = forgetAt;
-  ByForgetAt.emplace(forgetAt, attempt);
+  it->second.ExpiresAt = expiresAt;
+  ByExpiry.emplace(expiresAt, attempt);
 }
 
 } // namespace hickoryglade
--- a/src/libhickoryglade/startledger.h
+++ b/src/libhickoryglade/startledger.h
@@ -18,16 +18,16 @@
   StartState stateOf(const std::string &attempt) const;
 
   /// Notes that an attempt waits for a slot.
-  void noteWaiting(const std::string &attempt, Instant forgetAt);
+  void noteWaiting(const std::string &attempt, Instant expiresAt);
 
   /// Marks an attempt as started. Returns false and changes nothing if it must
   /// not start.
-  bool tryStart(const std::string &attempt, Instant forgetAt);
+  bool tryStart(const std::string &attempt, Instant expiresAt);
 
   void noteFinished(const std::string &attempt);
 
   /// Fences an attempt that has not started; returns its resulting state.
-  StartState revoke(const std::string &attempt, Instant forgetAt);
+  StartState revoke(const std::string &attempt, Instant expiresAt);
 
   /// Removes expired records.
   void forget(Instant now);
@@ -37,13 +37,13 @@
 private:
   struct Record {
     StartState State = StartState::Unseen;
-    Instant ForgetAt;
+    Instant ExpiresAt;
   };
 
-  void put(const std::string &attempt, StartState state, Instant forgetAt);
+  void put(const std::string &attempt, StartState state, Instant expiresAt);
 
   std::unordered_map<std::string, Record> Records;
-  std::multimap<Instant, std::string> ByForgetAt;
+  std::multimap<Instant, std::string> ByExpiry;
 };
 
 } // namespace hickoryglade
