--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -362,7 +362,7 @@
   }
   std::erase_if(gate.Departed,
                 [&](const auto &it) { return it.second.ExpiresAt <= now; });
-  gate.Ledger.forget(now);
+  gate.Ledger.removeExpired(now);
   expireCrashes(gate.Crashes, now);
   return actions;
 }
--- a/src/libhickoryglade/startledger.cpp
+++ b/src/libhickoryglade/startledger.cpp
@@ -35,7 +35,7 @@
   return stateOf(attempt);
 }
 
-void StartLedger::forget(Instant now) {
+void StartLedger::removeExpired(Instant now) {
   while (!ByExpiry.empty() && ByExpiry.begin()->first <= now) {
     auto record = Records.find(ByExpiry.begin()->second);
     if (record != Records.end() && record->second.ExpiresAt <= now)
--- a/src/libhickoryglade/startledger.h
+++ b/src/libhickoryglade/startledger.h
@@ -30,7 +30,7 @@
   StartState revoke(const std::string &attempt, Instant expiresAt);
 
   /// Removes expired records.
-  void forget(Instant now);
+  void removeExpired(Instant now);
 
   std::size_t size() const { return Records.size(); }
 
