--- a/src/libhickoryglade/gate.cpp
+++ b/src/libhickoryglade/gate.cpp
@@ -16,7 +16,7 @@
 constexpr Micros DepartedRetention = std::chrono::seconds(60);
 
 /// Time without announcements after which an idle endpoint is removed.
-constexpr Micros ForgetSilentAfter = std::chrono::seconds(30);
+constexpr Micros RemoveSilentAfter = std::chrono::seconds(30);
 
 /// A tick that is overdue by more than this shows that the process was paused.
 /// For HoldAfterPause the gate then starts nothing, so that it first processes
@@ -349,7 +349,7 @@
   }
   std::erase_if(gate.Endpoints, [&](const auto &it) {
     return it.second.Holders.empty() &&
-           now - it.second.LastAnnounced > ForgetSilentAfter;
+           now - it.second.LastAnnounced > RemoveSilentAfter;
   });
   for (auto &[name, service] : gate.Services) {
     std::erase_if(service.SettleUntil, [&](const auto &it) {
