--- a/src/libfleet/node/controlreport.cpp
+++ b/src/libfleet/node/controlreport.cpp
@@ -54,7 +54,7 @@
     ++out.MembersByState[std::string(toString(member.State))];
   out.SettingsVersion = double(Settings.state().Next);
   out.SettingsInForce = now() - Settings.takenAt();
-  out.SourceAge = now() - Settings.heardAt();
+  out.SourceAge = now() - Settings.sourceAnsweredAt();
   out.IsSourceReachable = Settings.isLogReachable();
   return out;
 }
@@ -121,7 +121,7 @@
       {"gossip_bytes_sent", gossipBytes()},
       {"settings_loaded", Settings.isLoaded()},
       {"settings_in_force_ms", toMillis(now() - Settings.takenAt()).count()},
-      {"source_age_ms", toMillis(now() - Settings.heardAt()).count()},
+      {"source_age_ms", toMillis(now() - Settings.sourceAnsweredAt()).count()},
       {"log_reachable", Settings.isLogReachable()},
       {"members", std::move(members)},
       {"quarantine", std::move(crashes)}};
--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -49,7 +49,7 @@
 void SettingsService::noteReachable(bool isReachable) {
   IsReachable = isReachable;
   if (isReachable)
-    HeardAt = now();
+    SourceAnsweredAt = now();
 }
 
 /// Notes when the version in force changed.
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -43,7 +43,7 @@
   bool isLogReachable() const { return IsReachable; }
 
   /// When the source of settings last answered.
-  Instant heardAt() const { return HeardAt; }
+  Instant sourceAnsweredAt() const { return SourceAnsweredAt; }
   /// When the version in force was taken.
   Instant takenAt() const { return TakenAt; }
 
@@ -82,7 +82,7 @@
   std::int64_t FirstKept = 0;
   bool Loaded = false;
   bool IsReachable = false;
-  Instant HeardAt;
+  Instant SourceAnsweredAt;
   Instant TakenAt;
   std::int64_t ReportedNext = -1;
   std::optional<RefusedDocument> Refused;
