--- a/src/libfleet/node/controlreport.cpp
+++ b/src/libfleet/node/controlreport.cpp
@@ -53,7 +53,7 @@
   for (const auto &[node, member] : Members.state().Members)
     ++out.MembersByState[std::string(toString(member.State))];
   out.SettingsVersion = double(Settings.state().Next);
-  out.SettingsInForce = now() - Settings.takenAt();
+  out.SettingsInForce = now() - Settings.inForceSince();
   out.SourceAge = now() - Settings.sourceAnsweredAt();
   out.IsSourceReachable = Settings.isLogReachable();
   return out;
@@ -120,7 +120,8 @@
       {"settings_next", Settings.state().Next},
       {"gossip_bytes_sent", gossipBytes()},
       {"settings_loaded", Settings.isLoaded()},
-      {"settings_in_force_ms", toMillis(now() - Settings.takenAt()).count()},
+      {"settings_in_force_ms",
+       toMillis(now() - Settings.inForceSince()).count()},
       {"source_age_ms", toMillis(now() - Settings.sourceAnsweredAt()).count()},
       {"log_reachable", Settings.isLogReachable()},
       {"members", std::move(members)},
--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -56,7 +56,7 @@
 void SettingsService::reportChange() {
   if (ReportedNext != Folded.Next) {
     ReportedNext = Folded.Next;
-    TakenAt = now();
+    InForceSince = now();
   }
   Handlers.OnChange();
 }
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -45,7 +45,7 @@
   /// When the source of settings last answered.
   Instant sourceAnsweredAt() const { return SourceAnsweredAt; }
   /// When the version in force was taken.
-  Instant takenAt() const { return TakenAt; }
+  Instant inForceSince() const { return InForceSince; }
 
   /// The latest refused document, until a later one is taken.
   const std::optional<RefusedDocument> &refused() const { return Refused; }
@@ -83,7 +83,7 @@
   bool Loaded = false;
   bool IsReachable = false;
   Instant SourceAnsweredAt;
-  Instant TakenAt;
+  Instant InForceSince;
   std::int64_t ReportedNext = -1;
   std::optional<RefusedDocument> Refused;
 };
