--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -165,7 +165,7 @@
 
 void Control::usePlatform(const PlatformAdapter &platform) {
   asio::any_io_executor ex = Io.get_executor();
-  Settings.followDocuments(platform.MakeSettingsSource(ex, Facts));
+  Settings.useDocumentSource(platform.MakeSettingsSource(ex, Facts));
   Directory = platform.MakeDirectory(ex, Facts.PlatformAddress);
 }
 
--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -33,7 +33,8 @@
       Reader(io.get_executor(), logAddress, stream), Counters(metrics),
       Handlers(std::move(events)) {}
 
-void SettingsService::followDocuments(std::unique_ptr<SettingsSource> source) {
+void SettingsService::useDocumentSource(
+    std::unique_ptr<SettingsSource> source) {
   Source = std::move(source);
 }
 
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -33,7 +33,7 @@
                   Events events);
 
   /// Takes whole documents from a source in place of changes from the log.
-  void followDocuments(std::unique_ptr<SettingsSource> source);
+  void useDocumentSource(std::unique_ptr<SettingsSource> source);
 
   void start();
   const SettingsState &state() const { return Folded; }
