--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -40,7 +40,7 @@
 
 void SettingsService::start() {
   if (Source) {
-    asio::co_spawn(Io, takeDocuments(), asio::detached);
+    asio::co_spawn(Io, pollDocuments(), asio::detached);
     return;
   }
   asio::co_spawn(Io, follow(), asio::detached);
@@ -99,7 +99,7 @@
   }
 }
 
-asio::awaitable<void> SettingsService::takeDocuments() {
+asio::awaitable<void> SettingsService::pollDocuments() {
   Millis backoff = FirstBackoff;
   while (true) {
     if (Loaded)
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -60,7 +60,7 @@
 
 private:
   asio::awaitable<void> follow();
-  asio::awaitable<void> takeDocuments();
+  asio::awaitable<void> pollDocuments();
   void takeDocument(const SettingsUpdate &update);
   asio::awaitable<void> refresh();
   RecordPlace oldestSafe() const;
