--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -110,7 +110,7 @@
                update.IsReachable ? "store_regained" : "store_lost",
                {{"settings_next", Folded.Next}});
     noteReachable(update.IsReachable);
-    takeDocument(update);
+    applyDocument(update);
     if (IsReachable && Loaded) {
       backoff = FirstBackoff;
       continue;
@@ -124,7 +124,7 @@
   }
 }
 
-void SettingsService::takeDocument(const SettingsUpdate &update) {
+void SettingsService::applyDocument(const SettingsUpdate &update) {
   if (!update.Faults.empty()) {
     Refused = {update.RefusedVersion, update.Faults, now()};
     Counters.countSettings("rejected");
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -61,7 +61,7 @@
 private:
   asio::awaitable<void> follow();
   asio::awaitable<void> pollDocuments();
-  void takeDocument(const SettingsUpdate &update);
+  void applyDocument(const SettingsUpdate &update);
   asio::awaitable<void> refresh();
   RecordPlace oldestSafe() const;
   asio::awaitable<void> pause(Millis wait);
