--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -86,7 +86,7 @@
       continue;
     }
     if (result.Status == LogStatus::Expired) {
-      co_await takeExpired(result.First);
+      co_await handleExpiredRecords(result.First);
       continue;
     }
     Counters.countLogFailure("read");
@@ -147,7 +147,8 @@
 }
 
 /// Records have expired before this node read them: peers may know them.
-asio::awaitable<void> SettingsService::takeExpired(std::int64_t first) {
+asio::awaitable<void>
+SettingsService::handleExpiredRecords(std::int64_t first) {
   FirstKept = first;
   bool hasPeerState = co_await Handlers.FetchSnapshot();
   if (hasPeerState && Folded.Next >= first)
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -68,7 +68,7 @@
   void noteReachable(bool isReachable);
   void reportChange();
   void fold(const std::vector<LogRecord> &records);
-  asio::awaitable<void> takeExpired(std::int64_t first);
+  asio::awaitable<void> handleExpiredRecords(std::int64_t first);
 
   asio::io_context &Io;
   std::string LogAddress;
