--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -84,7 +84,7 @@
   bool isReader() const;
   void noteFresh(std::int64_t next);
   void beatSettings();
-  asio::awaitable<void> awaitTurn();
+  asio::awaitable<void> awaitPollDue();
   std::vector<std::string> newestHolders() const;
   bool isBehind() const;
   asio::awaitable<void> catchUp();
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -60,7 +60,7 @@
 
 /// Waits while a reader's word that the settings are the newest counts. At the
 /// start nobody knows yet who the readers are.
-asio::awaitable<void> Control::awaitTurn() {
+asio::awaitable<void> Control::awaitPollDue() {
   bool isStart = FreshUntil == Instant{};
   if (isStart)
     FreshUntil = now() + FreshTerm;
--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -103,7 +103,7 @@
   Millis backoff = FirstBackoff;
   while (true) {
     if (Loaded)
-      co_await Handlers.AwaitTurn();
+      co_await Handlers.AwaitPollDue();
     SettingsUpdate update = co_await Source->next();
     if (update.IsReachable != IsReachable)
       logEvent(LogLevel::Warn,
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -25,7 +25,7 @@
     /// This node's place among all in writing a given record anew.
     std::function<std::size_t(const std::string &what)> RefreshRank;
     /// Waits while others read the source of documents for this node.
-    std::function<asio::awaitable<void>()> AwaitTurn;
+    std::function<asio::awaitable<void>()> AwaitPollDue;
   };
 
   SettingsService(asio::io_context &io, std::string logAddress,
