--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -21,8 +21,8 @@
 
 /// Records in the oldest quarter of what the log keeps are written anew, and
 /// those that have stood for half the time that it keeps them.
-constexpr std::int64_t RefreshedPart = 4;
-constexpr std::int64_t RefreshedAge = 2;
+constexpr std::int64_t RefreshOffsetDivisor = 4;
+constexpr std::int64_t RefreshAgeDivisor = 2;
 
 } // namespace
 
@@ -218,8 +218,8 @@
 RecordPlace SettingsService::oldestSafe() const {
   RecordPlace place;
   if (FirstKept > 0)
-    place.Offset = FirstKept + (Folded.Next - FirstKept) / RefreshedPart;
-  place.AtMs = wallMicros() / 1'000 - Retention.count() / RefreshedAge;
+    place.Offset = FirstKept + (Folded.Next - FirstKept) / RefreshOffsetDivisor;
+  place.AtMs = wallMicros() / 1'000 - Retention.count() / RefreshAgeDivisor;
   return place;
 }
 
