--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -17,7 +17,7 @@
 constexpr Millis RefreshPeriod = std::chrono::milliseconds(500);
 
 /// Each place in the refresh order waits this much longer before it writes.
-constexpr Millis RefreshStep = std::chrono::milliseconds(500);
+constexpr Millis RefreshRankDelay = std::chrono::milliseconds(500);
 
 /// Records in the oldest quarter of what the log keeps are written anew, and
 /// those that have stood for half the time that it keeps them.
@@ -233,7 +233,7 @@
     if (!due)
       continue;
     std::string what = due->Path + ' ' + std::to_string(due->Revision);
-    co_await pause(RefreshStep * int(Handlers.RefreshRank(what)));
+    co_await pause(RefreshRankDelay * int(Handlers.RefreshRank(what)));
     auto still = dueRefresh(Folded, oldestSafe());
     if (!still || still->Path != due->Path)
       continue;
