--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis PollWait = std::chrono::seconds(2);
 constexpr Millis FirstBackoff = std::chrono::milliseconds(200);
-constexpr Millis MostBackoff = std::chrono::seconds(2);
+constexpr Millis MaxBackoff = std::chrono::seconds(2);
 constexpr Millis ActPeriod = std::chrono::milliseconds(200);
 
 /// Between tries to acquire the same lease.
@@ -23,7 +23,7 @@
 /// With reads failing for this long, vouchers are sought instead.
 constexpr Micros VoucherAfter = std::chrono::seconds(3);
 
-constexpr std::size_t MostHandedOn = 256;
+constexpr std::size_t MaxHandedOn = 256;
 
 /// The ledger decides; this spares the log the requests that it would deny.
 bool leavesEnough(const LeaseRecord &record) {
@@ -72,7 +72,7 @@
     if (result.Status != LogStatus::Done) {
       Counters.countLogFailure("read");
       co_await pause(backoff);
-      backoff = std::min(backoff * 2, MostBackoff);
+      backoff = std::min(backoff * 2, MaxBackoff);
       continue;
     }
     backoff = FirstBackoff;
@@ -86,7 +86,7 @@
                   {"holder", it.Holder.Node}});
         bool isKeeperGone = it.Subject.Kind == LeaseKind::Keeper &&
                             it.What == LeaseEvent::Change::Released;
-        if (isKeeperGone && HandedOn.size() < MostHandedOn)
+        if (isKeeperGone && HandedOn.size() < MaxHandedOn)
           HandedOn.push_back(it.Holder);
       }
     bool isAtTail = result.Records.empty() || HasRead;
--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -16,8 +16,8 @@
 using nlohmann::json;
 
 constexpr int HeartbeatMs = 1'000;
-constexpr int MostSlots = 10'000;
-constexpr std::size_t MostNameBytes = 200;
+constexpr int MaxSlots = 10'000;
+constexpr std::size_t MaxNameBytes = 200;
 constexpr Millis PublishLimit = std::chrono::seconds(10);
 constexpr std::string_view EndpointsPath = "/v1/endpoints";
 constexpr std::string_view SettingsPath = "/v1/settings";
@@ -40,7 +40,7 @@
   auto it = object.find(key);
   if (it != object.end() && it->is_string()) {
     auto text = it->get<std::string>();
-    if (!text.empty() && text.size() <= MostNameBytes)
+    if (!text.empty() && text.size() <= MaxNameBytes)
       return text;
   }
   reason = std::string(key) + " must be a text of 1 to 200 bytes";
@@ -63,7 +63,7 @@
     reason = "address must be IP:PORT";
   auto slots = object.find("slots");
   if (slots == object.end() || !slots->is_number_integer() ||
-      slots->get<std::int64_t>() < 1 || slots->get<std::int64_t>() > MostSlots)
+      slots->get<std::int64_t>() < 1 || slots->get<std::int64_t>() > MaxSlots)
     reason = "slots must be an integer from 1 to 10000";
   else
     out.Slots = slots->get<int>();
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr Micros SnapshotLimit = std::chrono::milliseconds(800);
-constexpr std::size_t MostSnapshotPeers = 3;
+constexpr std::size_t MaxSnapshotPeers = 3;
 
 /// News of a settings document reaches most nodes from the store this soon;
 /// only those left behind ask their peers.
@@ -146,7 +146,7 @@
     addresses.push_back(peer->Record.FleetAddress);
   if (addresses.empty())
     addresses = Facts.Seeds;
-  co_return co_await fetchSnapshotFrom(std::move(addresses), MostSnapshotPeers);
+  co_return co_await fetchSnapshotFrom(std::move(addresses), MaxSnapshotPeers);
 }
 
 asio::awaitable<bool>
--- a/src/libfleet/node/nodesettings.cpp
+++ b/src/libfleet/node/nodesettings.cpp
@@ -15,11 +15,11 @@
 
 using nlohmann::json;
 
-constexpr int MostTrafficThreads = 64;
-constexpr int MostSettingsReaders = 1'000;
-constexpr int LeastRetentionMs = 1'000;
-constexpr int MostRetentionMs = 2'000'000'000;
-constexpr int MostDrainMs = 3'600'000;
+constexpr int MaxTrafficThreads = 64;
+constexpr int MaxSettingsReaders = 1'000;
+constexpr int MinRetentionMs = 1'000;
+constexpr int MaxRetentionMs = 2'000'000'000;
+constexpr int MaxDrainMs = 3'600'000;
 constexpr std::array<std::string_view, 4> LogLevels = {"debug", "info", "warn",
                                                        "error"};
 
@@ -139,8 +139,8 @@
   reader.readAddress("address", settings.LogAddress, true);
   reader.readString("prefix", settings.StreamPrefix, false);
   int retentionMs = int(settings.LogRetention.count());
-  reader.readInteger("retention_ms", retentionMs, LeastRetentionMs,
-                     MostRetentionMs);
+  reader.readInteger("retention_ms", retentionMs, MinRetentionMs,
+                     MaxRetentionMs);
   settings.LogRetention = Millis(retentionMs);
   reader.reportUnknown();
 }
@@ -170,20 +170,20 @@
   reader.readAddress("advertise", settings.AdvertisedAddress, false);
   reader.readAddresses("seeds", settings.Seeds);
   reader.readInteger("traffic_threads", settings.TrafficThreads, 1,
-                     MostTrafficThreads);
+                     MaxTrafficThreads);
   int drainMs = int(settings.DrainLimit.count());
-  reader.readInteger("drain_limit_ms", drainMs, 0, MostDrainMs);
+  reader.readInteger("drain_limit_ms", drainMs, 0, MaxDrainMs);
   settings.DrainLimit = Millis(drainMs);
   int lingerMs = int(settings.Linger.count());
-  reader.readInteger("linger_ms", lingerMs, 0, MostDrainMs);
+  reader.readInteger("linger_ms", lingerMs, 0, MaxDrainMs);
   settings.Linger = Millis(lingerMs);
   int announcementMs = int(settings.AnnouncementLimit.count());
-  reader.readInteger("announcement_limit_ms", announcementMs, 100, MostDrainMs);
+  reader.readInteger("announcement_limit_ms", announcementMs, 100, MaxDrainMs);
   settings.AnnouncementLimit = Millis(announcementMs);
   reader.readString("service", settings.Service, false);
   reader.readBoolean("accept_before_ready", settings.AcceptsBeforeReady);
   reader.readInteger("settings_readers", settings.SettingsReaders, 0,
-                     MostSettingsReaders);
+                     MaxSettingsReaders);
   reader.readBoolean("keep_standings_near", settings.KeepsStandingsNear);
   reader.readString("log_level", settings.LogLevel, false);
   if (std::ranges::find(LogLevels, settings.LogLevel) == LogLevels.end())
--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -12,7 +12,7 @@
 
 constexpr Millis PollWait = std::chrono::seconds(5);
 constexpr Millis FirstBackoff = std::chrono::milliseconds(200);
-constexpr Millis MostBackoff = std::chrono::seconds(2);
+constexpr Millis MaxBackoff = std::chrono::seconds(2);
 constexpr Millis VerdictPoll = std::chrono::milliseconds(10);
 constexpr Millis RefreshPeriod = std::chrono::milliseconds(500);
 
@@ -95,7 +95,7 @@
     Loaded = Loaded || hasPeerState;
     co_await pause(result.Status == LogStatus::Overloaded ? result.RetryAfter
                                                           : backoff);
-    backoff = std::min(backoff * 2, MostBackoff);
+    backoff = std::min(backoff * 2, MaxBackoff);
   }
 }
 
@@ -120,7 +120,7 @@
       co_await Handlers.FetchSnapshot();
     }
     co_await pause(backoff);
-    backoff = std::min(backoff * 2, MostBackoff);
+    backoff = std::min(backoff * 2, MaxBackoff);
   }
 }
 
@@ -204,7 +204,7 @@
     if (Folded.Verdicts.contains(change.Id))
       break;
     co_await pause(std::min(backoff, toMillis(until - now())));
-    backoff = std::min(backoff * 2, MostBackoff);
+    backoff = std::min(backoff * 2, MaxBackoff);
   }
   while (now() < until) {
     auto it = Folded.Verdicts.find(change.Id);
