--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Millis PollWait = std::chrono::seconds(2);
-constexpr Millis FirstBackoff = std::chrono::milliseconds(200);
+constexpr Millis InitialBackoff = std::chrono::milliseconds(200);
 constexpr Millis MaxBackoff = std::chrono::seconds(2);
 constexpr Millis ActPeriod = std::chrono::milliseconds(200);
 
@@ -60,7 +60,7 @@
 }
 
 asio::awaitable<void> LeaseService::follow() {
-  Millis backoff = FirstBackoff;
+  Millis backoff = InitialBackoff;
   while (true) {
     Instant began = now();
     Millis wait = HasRead ? PollWait : Millis(0);
@@ -75,7 +75,7 @@
       backoff = std::min(backoff * 2, MaxBackoff);
       continue;
     }
-    backoff = FirstBackoff;
+    backoff = InitialBackoff;
     for (const LogRecord &record : result.Records)
       for (const LeaseEvent &it :
            takeRecord(Agent, record.Offset, record.Data, now())) {
--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Millis PollWait = std::chrono::seconds(5);
-constexpr Millis FirstBackoff = std::chrono::milliseconds(200);
+constexpr Millis InitialBackoff = std::chrono::milliseconds(200);
 constexpr Millis MaxBackoff = std::chrono::seconds(2);
 constexpr Millis VerdictPoll = std::chrono::milliseconds(10);
 constexpr Millis RefreshPeriod = std::chrono::milliseconds(500);
@@ -68,7 +68,7 @@
 }
 
 asio::awaitable<void> SettingsService::follow() {
-  Millis backoff = FirstBackoff;
+  Millis backoff = InitialBackoff;
   Loaded = co_await Handlers.FetchSnapshot();
   while (true) {
     Millis wait = Loaded ? PollWait : Millis(0);
@@ -76,7 +76,7 @@
     noteReachable(result.Status == LogStatus::Done ||
                   result.Status == LogStatus::Expired);
     if (result.Status == LogStatus::Done) {
-      backoff = FirstBackoff;
+      backoff = InitialBackoff;
       FirstKept = result.First;
       bool isFirst = !Loaded;
       Loaded = true;
@@ -100,7 +100,7 @@
 }
 
 asio::awaitable<void> SettingsService::pollDocuments() {
-  Millis backoff = FirstBackoff;
+  Millis backoff = InitialBackoff;
   while (true) {
     if (Loaded)
       co_await Handlers.AwaitPollDue();
@@ -112,7 +112,7 @@
     noteReachable(update.IsReachable);
     applyDocument(update);
     if (IsReachable && Loaded) {
-      backoff = FirstBackoff;
+      backoff = InitialBackoff;
       continue;
     }
     if (!IsReachable) {
@@ -195,7 +195,7 @@
   LogClient writer(Io.get_executor(), LogAddress, Stream);
   change.AtMs = wallMicros() / 1'000;
   std::string data = encodeChange(change);
-  Millis backoff = FirstBackoff;
+  Millis backoff = InitialBackoff;
   while (now() < until) {
     AppendResult result = co_await writer.append(data);
     if (result.Status == LogStatus::Done)
