--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -13,7 +13,7 @@
 
 /// A grant counts only if it arrives this soon after it was asked for: a
 /// keeper that was paused in between may have lost its lease meanwhile.
-constexpr Micros GrantAge = std::chrono::seconds(3);
+constexpr Micros MaxGrantAge = std::chrono::seconds(3);
 
 constexpr Micros AskLimit = std::chrono::milliseconds(1'500);
 constexpr Micros RecordLimit = std::chrono::seconds(1);
@@ -119,7 +119,7 @@
     std::optional<wire::KeyReply> reply =
         co_await ask(inquiry, request, inquiry.Deadline);
     KeyVerdict verdict = reply ? verdictOf(*reply) : KeyVerdict::NotKeeper;
-    bool isTimely = now() - asked < GrantAge;
+    bool isTimely = now() - asked < MaxGrantAge;
     if (verdict == KeyVerdict::Granted && isTimely)
       co_return co_await runAndRecord(inquiry, std::move(run));
     if (verdict == KeyVerdict::Done)
