--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -15,7 +15,7 @@
 /// keeper that was paused in between may have lost its lease meanwhile.
 constexpr Micros MaxGrantAge = std::chrono::seconds(3);
 
-constexpr Micros AskLimit = std::chrono::milliseconds(1'500);
+constexpr Micros KeeperCallTimeout = std::chrono::milliseconds(1'500);
 constexpr Micros RecordLimit = std::chrono::seconds(1);
 constexpr Micros PollPause = std::chrono::milliseconds(30);
 
@@ -90,7 +90,7 @@
   if (node == View->Nodes.end() || node->second.BootId != ranked.front().BootId)
     co_return std::nullopt;
   NodeView target = node->second;
-  until = std::min(until, now() + AskLimit);
+  until = std::min(until, now() + KeeperCallTimeout);
   auto client = co_await Links.connect(ranked.front().Node, target, until);
   if (!client)
     co_return std::nullopt;
--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Micros AskLimit = std::chrono::milliseconds(500);
+constexpr Micros KeeperCallTimeout = std::chrono::milliseconds(500);
 constexpr Micros ExpiryPeriod = std::chrono::milliseconds(500);
 constexpr Micros LongestLifetime = std::chrono::hours(24);
 
@@ -243,7 +243,7 @@
   if (node == View->Nodes.end() || node->second.BootId != holder.BootId)
     co_return std::nullopt;
   NodeView target = node->second;
-  Instant until = now() + AskLimit;
+  Instant until = now() + KeeperCallTimeout;
   auto client = co_await Links.connect(holder.Node, target, until);
   if (!client)
     co_return std::nullopt;
