--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -16,7 +16,7 @@
 constexpr Micros MaxGrantAge = std::chrono::seconds(3);
 
 constexpr Micros KeeperCallTimeout = std::chrono::milliseconds(1'500);
-constexpr Micros RecordLimit = std::chrono::seconds(1);
+constexpr Micros RecordTimeout = std::chrono::seconds(1);
 constexpr Micros PollPause = std::chrono::milliseconds(30);
 
 /// A request without a grant is given up after this time.
@@ -134,7 +134,7 @@
                           RetrySoon);
     if (isPassing(verdict) && now() >= patience) {
       co_await ask(inquiry, makeRequest(inquiry, wire::KeyOperation::RELEASE),
-                   now() + RecordLimit);
+                   now() + RecordTimeout);
       co_return makeError(ErrorKind::KeeperUnavailable, {}, RetrySoon);
     }
     asio::steady_timer pause(Executor, PollPause);
@@ -169,7 +169,7 @@
     }
   }
   std::optional<wire::KeyReply> reply =
-      co_await ask(inquiry, request, now() + RecordLimit);
+      co_await ask(inquiry, request, now() + RecordTimeout);
   if (!reply)
     logEvent(LogLevel::Warn, "key_not_recorded", {{"request", inquiry.Id}});
 }
