--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -20,7 +20,7 @@
 constexpr Micros PollPause = std::chrono::milliseconds(30);
 
 /// A request without a grant is given up after this time.
-constexpr Micros GrantPatience = std::chrono::seconds(3);
+constexpr Micros GrantTimeout = std::chrono::seconds(3);
 
 constexpr Millis RetrySoon = std::chrono::seconds(2);
 
@@ -111,7 +111,7 @@
 }
 
 asio::awaitable<EntryResult> KeyedCall::perform(Inquiry &inquiry, Run run) {
-  Instant patience = std::min(now() + GrantPatience, inquiry.Deadline);
+  Instant grantDeadline = std::min(now() + GrantTimeout, inquiry.Deadline);
   while (!inquiry.Scope->IsCancelled) {
     Instant asked = now();
     wire::KeyRequest request =
@@ -132,7 +132,7 @@
       co_return makeError(ErrorKind::DeadlineExceeded,
                           "the first run with this key has not ended",
                           RetrySoon);
-    if (isPassing(verdict) && now() >= patience) {
+    if (isPassing(verdict) && now() >= grantDeadline) {
       co_await ask(inquiry, makeRequest(inquiry, wire::KeyOperation::RELEASE),
                    now() + RecordTimeout);
       co_return makeError(ErrorKind::KeeperUnavailable, {}, RetrySoon);
