--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -22,7 +22,7 @@
 /// A request without a grant is given up after this time.
 constexpr Micros GrantTimeout = std::chrono::seconds(3);
 
-constexpr Millis RetrySoon = std::chrono::seconds(2);
+constexpr Millis RetryAfterKeyError = std::chrono::seconds(2);
 
 /// Verdicts that the keeper may change on its own before long.
 bool isPassing(KeyVerdict verdict) {
@@ -131,11 +131,11 @@
     if (verdict == KeyVerdict::Running && now() >= inquiry.Deadline)
       co_return makeError(ErrorKind::DeadlineExceeded,
                           "the first run with this key has not ended",
-                          RetrySoon);
+                          RetryAfterKeyError);
     if (isPassing(verdict) && now() >= grantDeadline) {
       co_await ask(inquiry, makeRequest(inquiry, wire::KeyOperation::RELEASE),
                    now() + RecordTimeout);
-      co_return makeError(ErrorKind::KeeperUnavailable, {}, RetrySoon);
+      co_return makeError(ErrorKind::KeeperUnavailable, {}, RetryAfterKeyError);
     }
     asio::steady_timer pause(Executor, PollPause);
     co_await pause.async_wait(asio::use_awaitable);
