--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -17,7 +17,7 @@
 
 constexpr Micros KeeperCallTimeout = std::chrono::milliseconds(1'500);
 constexpr Micros RecordTimeout = std::chrono::seconds(1);
-constexpr Micros PollPause = std::chrono::milliseconds(30);
+constexpr Micros KeyPollInterval = std::chrono::milliseconds(30);
 
 /// A request without a grant is given up after this time.
 constexpr Micros GrantTimeout = std::chrono::seconds(3);
@@ -137,7 +137,7 @@
                    now() + RecordTimeout);
       co_return makeError(ErrorKind::KeeperUnavailable, {}, RetryAfterKeyError);
     }
-    asio::steady_timer pause(Executor, PollPause);
+    asio::steady_timer pause(Executor, KeyPollInterval);
     co_await pause.async_wait(asio::use_awaitable);
   }
   co_return makeError(ErrorKind::Cancelled);
