--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -25,7 +25,7 @@
 constexpr Millis RetryAfterKeyError = std::chrono::seconds(2);
 
 /// Verdicts that the keeper may change on its own before long.
-bool isPassing(KeyVerdict verdict) {
+bool isTransient(KeyVerdict verdict) {
   return verdict == KeyVerdict::NotKeeper || verdict == KeyVerdict::NoCopy;
 }
 
@@ -124,7 +124,7 @@
       co_return co_await runAndRecord(inquiry, std::move(run));
     if (verdict == KeyVerdict::Done)
       co_return replay(reply->record.answer);
-    bool isFinal = !isPassing(verdict) && verdict != KeyVerdict::Running &&
+    bool isFinal = !isTransient(verdict) && verdict != KeyVerdict::Running &&
                    verdict != KeyVerdict::Granted;
     if (isFinal)
       co_return keyError(verdict);
@@ -132,7 +132,7 @@
       co_return makeError(ErrorKind::DeadlineExceeded,
                           "the first run with this key has not ended",
                           RetryAfterKeyError);
-    if (isPassing(verdict) && now() >= grantDeadline) {
+    if (isTransient(verdict) && now() >= grantDeadline) {
       co_await ask(inquiry, makeRequest(inquiry, wire::KeyOperation::RELEASE),
                    now() + RecordTimeout);
       co_return makeError(ErrorKind::KeeperUnavailable, {}, RetryAfterKeyError);
