--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -80,8 +80,8 @@
 }
 
 asio::awaitable<std::optional<wire::KeyReply>>
-KeyedCall::ask(const Inquiry &inquiry, wire::KeyRequest request,
-               Instant until) {
+KeyedCall::callKeeper(const Inquiry &inquiry, wire::KeyRequest request,
+                      Instant until) {
   std::vector<LeaseHolder> ranked =
       rankKeepers(View->Keepers, request.record.key);
   if (ranked.empty())
@@ -117,7 +117,7 @@
     wire::KeyRequest request =
         makeRequest(inquiry, wire::KeyOperation::RESERVE);
     std::optional<wire::KeyReply> reply =
-        co_await ask(inquiry, request, inquiry.Deadline);
+        co_await callKeeper(inquiry, request, inquiry.Deadline);
     KeyVerdict verdict = reply ? verdictOf(*reply) : KeyVerdict::NotKeeper;
     bool isTimely = now() - asked < MaxGrantAge;
     if (verdict == KeyVerdict::Granted && isTimely)
@@ -133,8 +133,9 @@
                           "the first run with this key has not ended",
                           RetryAfterKeyError);
     if (isTransient(verdict) && now() >= grantDeadline) {
-      co_await ask(inquiry, makeRequest(inquiry, wire::KeyOperation::RELEASE),
-                   now() + RecordTimeout);
+      co_await callKeeper(inquiry,
+                          makeRequest(inquiry, wire::KeyOperation::RELEASE),
+                          now() + RecordTimeout);
       co_return makeError(ErrorKind::KeeperUnavailable, {}, RetryAfterKeyError);
     }
     asio::steady_timer pause(Executor, KeyPollInterval);
@@ -169,7 +170,7 @@
     }
   }
   std::optional<wire::KeyReply> reply =
-      co_await ask(inquiry, request, now() + RecordTimeout);
+      co_await callKeeper(inquiry, request, now() + RecordTimeout);
   if (!reply)
     logEvent(LogLevel::Warn, "key_not_recorded", {{"request", inquiry.Id}});
 }
--- a/src/libfleet/keys/keyedcall.h
+++ b/src/libfleet/keys/keyedcall.h
@@ -21,7 +21,7 @@
 private:
   /// What the keeper said; nothing if it could not be asked.
   asio::awaitable<std::optional<wire::KeyReply>>
-  ask(const Inquiry &inquiry, wire::KeyRequest request, Instant until);
+  callKeeper(const Inquiry &inquiry, wire::KeyRequest request, Instant until);
   asio::awaitable<EntryResult> runAndRecord(Inquiry &inquiry, Run run);
   asio::awaitable<void> record(const Inquiry &inquiry,
                                const EntryResult &result);
--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -171,7 +171,8 @@
   Millis lifetime(request.record.lifetimeMs);
   while (true) {
     for (const LeaseHolder &holder : toAsk) {
-      std::optional<wire::KeyReply> reply = co_await ask(holder, request);
+      std::optional<wire::KeyReply> reply =
+          co_await callKeeper(holder, request);
       if (!reply)
         co_return KeyVerdict::NoCopy;
       if (reply->verdict == int(KeyVerdict::NotKeeper))
@@ -224,7 +225,7 @@
   request.rosterOffset = 0;
   for (std::size_t i = 0; i < std::min(ranked.size(), KeyCopies); ++i)
     if (ranked[i] != Self)
-      co_await ask(ranked[i], request);
+      co_await callKeeper(ranked[i], request);
   co_return verdictReply(KeyVerdict::Granted);
 }
 
@@ -234,11 +235,11 @@
   std::vector<LeaseHolder> ranked =
       rankKeepers(Placement.current(), request.record.key);
   if (ranked.size() >= KeyCopies && ranked.front() == Self)
-    co_await ask(ranked[1], request);
+    co_await callKeeper(ranked[1], request);
 }
 
 asio::awaitable<std::optional<wire::KeyReply>>
-KeyService::ask(LeaseHolder holder, wire::KeyRequest request) {
+KeyService::callKeeper(LeaseHolder holder, wire::KeyRequest request) {
   auto node = View->Nodes.find(holder.Node);
   if (node == View->Nodes.end() || node->second.BootId != holder.BootId)
     co_return std::nullopt;
@@ -278,7 +279,7 @@
       bool isInTime = now() < until;
       std::optional<wire::KeyReply> reply;
       if (isInTime)
-        reply = co_await ask(heir, request);
+        reply = co_await callKeeper(heir, request);
       isComplete = isComplete && reply.has_value();
     }
   }
--- a/src/libfleet/keys/keyservice.h
+++ b/src/libfleet/keys/keyservice.h
@@ -38,8 +38,8 @@
   wire::KeyReply lookup(const wire::KeyRequest &request) const;
   asio::awaitable<KeyVerdict> confirmNew(wire::KeyRequest request,
                                          std::vector<LeaseHolder> ranked);
-  asio::awaitable<std::optional<wire::KeyReply>> ask(LeaseHolder holder,
-                                                     wire::KeyRequest request);
+  asio::awaitable<std::optional<wire::KeyReply>>
+  callKeeper(LeaseHolder holder, wire::KeyRequest request);
   wire::KeyReply replyFor(const KeyEntry &entry,
                           const wire::KeyRecord &record) const;
   bool isKeeperOf(const std::vector<LeaseHolder> &ranked) const;
