--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -265,21 +265,21 @@
 asio::awaitable<bool> KeyService::handOn(Millis limit) {
   IsResigned = true;
   Instant until = now() + limit;
-  std::vector<LeaseHolder> heirs = Placement.current();
-  std::erase(heirs, Self);
+  std::vector<LeaseHolder> successors = Placement.current();
+  std::erase(successors, Self);
   bool isComplete = true;
   std::map<std::string, KeyEntry> entries = Table.entries();
   for (const auto &[key, entry] : entries) {
-    std::vector<LeaseHolder> ranked = rankKeepers(heirs, key);
+    std::vector<LeaseHolder> ranked = rankKeepers(successors, key);
     ranked.resize(std::min(ranked.size(), KeyCopies));
     wire::KeyRequest request;
     request.operation = wire::KeyOperation::COPY;
     request.record = toRecord(key, entry);
-    for (const LeaseHolder &heir : ranked) {
+    for (const LeaseHolder &successor : ranked) {
       bool isInTime = now() < until;
       std::optional<wire::KeyReply> reply;
       if (isInTime)
-        reply = co_await callKeeper(heir, request);
+        reply = co_await callKeeper(successor, request);
       isComplete = isComplete && reply.has_value();
     }
   }
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -377,7 +377,7 @@
   return isGateQuiet && inFlight == 0;
 }
 
-/// Gives the kept keys to their heirs, then the keeper lease back.
+/// Gives the kept keys to their successors, then the keeper lease back.
 void Node::Parts::handOnKeys() {
   auto handOn = [](KeyService *keys) -> asio::awaitable<bool> {
     co_return co_await keys->handOn(HandOnLimit);
--- a/src/libhickoryglade/keyplacement.h
+++ b/src/libhickoryglade/keyplacement.h
@@ -22,7 +22,7 @@
 class KeyPlacement {
 public:
   /// Notes a changed roster. Keepers in handedOn have given their records to
-  /// their heirs before they left.
+  /// their successors before they left.
   void note(std::vector<LeaseHolder> roster,
             const std::vector<LeaseHolder> &handedOn, Instant now);
 
