--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -188,7 +188,8 @@
   Handlers.OnChange();
 }
 
-void LeaseService::wantEjection(const LeaseSubject &subject, bool isWanted) {
+void LeaseService::updateEjectionLease(const LeaseSubject &subject,
+                                       bool isWanted) {
   if (isWanted)
     Wanted.try_emplace(subject);
   else
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -36,7 +36,7 @@
   const LeaseAgent &agent() const { return Agent; }
 
   /// Asks for an ejection lease, or gives it back.
-  void wantEjection(const LeaseSubject &subject, bool isWanted);
+  void updateEjectionLease(const LeaseSubject &subject, bool isWanted);
 
   /// Ends of the ejection leases held, by endpoint.
   std::map<std::string, Instant> ejections() const;
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -132,9 +132,9 @@
   return all;
 }
 
-void Control::wantEjection(const EjectionAction &action) {
+void Control::updateEjectionLease(const EjectionAction &action) {
   LeaseSubject subject{LeaseKind::Ejection, action.Service, action.Endpoint};
-  Leases.wantEjection(subject, action.IsWanted);
+  Leases.updateEjectionLease(subject, action.IsWanted);
 }
 
 asio::awaitable<bool> Control::askVoucher(std::string node) {
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -44,7 +44,7 @@
 
   void setEndpoints(std::vector<EndpointRecord> endpoints,
                     std::vector<DepartedRecord> departed);
-  void wantEjection(const EjectionAction &action);
+  void updateEjectionLease(const EjectionAction &action);
   void noteCrash(std::uint64_t fingerprint, const CrashRecord &record);
   void leave();
 
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -143,8 +143,9 @@
     });
   };
   gateEvents.OnEjection = [this](EjectionAction action) {
-    asio::post(ControlLoop.Io,
-               [this, it = std::move(action)] { Brain->wantEjection(it); });
+    asio::post(ControlLoop.Io, [this, it = std::move(action)] {
+      Brain->updateEjectionLease(it);
+    });
   };
   gateEvents.OnCrash = [this](std::uint64_t fingerprint, CrashRecord record) {
     asio::post(ControlLoop.Io, [this, fingerprint, record] {
