--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -118,7 +118,7 @@
     KeeperAskedAt = now();
     due.push_back(ownRecord(LeaseAction::Acquire, Keeper));
   }
-  for (auto &[subject, askedAt] : Wanted) {
+  for (auto &[subject, askedAt] : WantedEjections) {
     bool isHeld = isHeldBy(Agent.Ledger, subject, Agent.Self);
     if (isHeld || now() - askedAt < AcquirePeriod)
       continue;
@@ -146,8 +146,8 @@
       continue;
     bool isAffordable = leavesEnough(Handlers.DescribeEjection(subject));
     if (!isAffordable)
-      Wanted.erase(subject);
-    if (!Wanted.contains(subject))
+      WantedEjections.erase(subject);
+    if (!WantedEjections.contains(subject))
       needless.push_back(subject);
   }
   return needless;
@@ -191,14 +191,14 @@
 void LeaseService::updateEjectionLease(const LeaseSubject &subject,
                                        bool isWanted) {
   if (isWanted)
-    Wanted.try_emplace(subject);
+    WantedEjections.try_emplace(subject);
   else
-    Wanted.erase(subject);
+    WantedEjections.erase(subject);
 }
 
 std::map<std::string, Instant> LeaseService::ejections() const {
   std::map<std::string, Instant> ends;
-  for (const auto &[subject, askedAt] : Wanted)
+  for (const auto &[subject, askedAt] : WantedEjections)
     if (auto end = leaseEnd(Agent, subject))
       ends[subject.Name] = *end;
   return ends;
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -70,7 +70,7 @@
   Events Handlers;
   LeaseAgent Agent;
   LeaseSubject Keeper;
-  std::map<LeaseSubject, Instant> Wanted;
+  std::map<LeaseSubject, Instant> WantedEjections;
   std::vector<LeaseHolder> HandedOn;
   Instant KeeperAskedAt;
   bool HasRead = false;
