--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -114,18 +114,18 @@
   for (LeaseRecord &it : dueChallenges(Agent, Handlers.Members(), now()))
     due.push_back(std::move(it));
   bool isKeeper = isHeldBy(Agent.Ledger, Keeper, Agent.Self);
-  if (!isKeeper && !IsResigned && now() - KeeperAskedAt > AcquirePeriod) {
-    KeeperAskedAt = now();
+  if (!isKeeper && !IsResigned && now() - KeeperRequestedAt > AcquirePeriod) {
+    KeeperRequestedAt = now();
     due.push_back(ownRecord(LeaseAction::Acquire, Keeper));
   }
-  for (auto &[subject, askedAt] : WantedEjections) {
+  for (auto &[subject, requestedAt] : WantedEjections) {
     bool isHeld = isHeldBy(Agent.Ledger, subject, Agent.Self);
-    if (isHeld || now() - askedAt < AcquirePeriod)
+    if (isHeld || now() - requestedAt < AcquirePeriod)
       continue;
     LeaseRecord record = Handlers.DescribeEjection(subject);
     if (!leavesEnough(record))
       continue;
-    askedAt = now();
+    requestedAt = now();
     record.Action = LeaseAction::Acquire;
     record.Subject = subject;
     record.Holder = Agent.Self;
@@ -198,7 +198,7 @@
 
 std::map<std::string, Instant> LeaseService::ejections() const {
   std::map<std::string, Instant> ends;
-  for (const auto &[subject, askedAt] : WantedEjections)
+  for (const auto &[subject, requestedAt] : WantedEjections)
     if (auto end = leaseEnd(Agent, subject))
       ends[subject.Name] = *end;
   return ends;
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -72,7 +72,7 @@
   LeaseSubject Keeper;
   std::map<LeaseSubject, Instant> WantedEjections;
   std::vector<LeaseHolder> HandedOn;
-  Instant KeeperAskedAt;
+  Instant KeeperRequestedAt;
   bool HasRead = false;
   bool IsResigned = false;
 };
