--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -181,7 +181,7 @@
   if (!isKeeper || isFresh || isVouched || successor.empty())
     co_return;
   Instant asked = now();
-  bool isPromised = co_await Handlers.AskVoucher(successor);
+  bool isPromised = co_await Handlers.RequestVoucher(successor);
   if (!isPromised)
     co_return;
   noteVoucher(Agent, asked);
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -25,7 +25,7 @@
     /// Healthy endpoints of a service besides the given one, and its floor.
     std::function<LeaseRecord(const LeaseSubject &)> DescribeEjection;
     /// Asks the successor for a promise.
-    std::function<asio::awaitable<bool>(std::string node)> AskVoucher;
+    std::function<asio::awaitable<bool>(std::string node)> RequestVoucher;
   };
 
   LeaseService(asio::io_context &io, std::string logAddress, std::string stream,
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -99,8 +99,8 @@
   events.DescribeEjection = [this](const LeaseSubject &subject) {
     return describeEjection(subject);
   };
-  events.AskVoucher = [this](std::string node) {
-    return askVoucher(std::move(node));
+  events.RequestVoucher = [this](std::string node) {
+    return requestVoucher(std::move(node));
   };
   return events;
 }
@@ -137,7 +137,7 @@
   Leases.updateEjectionLease(subject, action.IsWanted);
 }
 
-asio::awaitable<bool> Control::askVoucher(std::string node) {
+asio::awaitable<bool> Control::requestVoucher(std::string node) {
   const auto &members = Members.state().Members;
   auto member = members.find(node);
   if (member == members.end())
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -71,7 +71,7 @@
   void spreadSettings();
   std::uint64_t gossipBytes() const;
   void logTraffic();
-  asio::awaitable<bool> askVoucher(std::string node);
+  asio::awaitable<bool> requestVoucher(std::string node);
   LeaseService::Events leaseEvents();
   std::vector<LedgerMember> ledgerMembers() const;
   std::vector<const Member *> membersInService() const;
