--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -169,11 +169,11 @@
       if (!isTaken)
         break;
     }
-    co_await seekVoucher();
+    co_await renewVoucher();
   }
 }
 
-asio::awaitable<void> LeaseService::seekVoucher() {
+asio::awaitable<void> LeaseService::renewVoucher() {
   bool isKeeper = isHeldBy(Agent.Ledger, Keeper, Agent.Self);
   bool isFresh = Agent.ReadAt && now() - *Agent.ReadAt < VoucherAfter;
   bool isVouched = Agent.VouchedAt && now() - *Agent.VouchedAt < VoucherAfter;
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -56,7 +56,7 @@
 private:
   asio::awaitable<void> follow();
   asio::awaitable<void> act();
-  asio::awaitable<void> seekVoucher();
+  asio::awaitable<void> renewVoucher();
   asio::awaitable<bool> append(LeaseRecord record);
   asio::awaitable<void> pause(Millis wait);
   std::vector<LeaseRecord> dueRecords();
