--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -15,7 +15,7 @@
 constexpr Millis PollWait = std::chrono::seconds(2);
 constexpr Millis InitialBackoff = std::chrono::milliseconds(200);
 constexpr Millis MaxBackoff = std::chrono::seconds(2);
-constexpr Millis ActPeriod = std::chrono::milliseconds(200);
+constexpr Millis MaintenancePeriod = std::chrono::milliseconds(200);
 
 /// Between tries to acquire the same lease.
 constexpr Micros AcquirePeriod = std::chrono::seconds(2);
@@ -51,7 +51,7 @@
 
 void LeaseService::start() {
   asio::co_spawn(Io, follow(), asio::detached);
-  asio::co_spawn(Io, act(), asio::detached);
+  asio::co_spawn(Io, maintainLeases(), asio::detached);
 }
 
 asio::awaitable<void> LeaseService::pause(Millis wait) {
@@ -160,9 +160,9 @@
   co_return result.Status == LogStatus::Done;
 }
 
-asio::awaitable<void> LeaseService::act() {
+asio::awaitable<void> LeaseService::maintainLeases() {
   while (true) {
-    co_await pause(ActPeriod);
+    co_await pause(MaintenancePeriod);
     std::vector<LeaseRecord> due = dueRecords();
     for (LeaseRecord &record : due) {
       bool isTaken = co_await append(std::move(record));
@@ -224,7 +224,7 @@
     AppendResult result = co_await writer.append(encodeLease(record));
     if (result.Status == LogStatus::Done)
       co_return true;
-    co_await pause(ActPeriod);
+    co_await pause(MaintenancePeriod);
   }
   co_return !isHeldBy(Agent.Ledger, Keeper, Agent.Self);
 }
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -55,7 +55,7 @@
 
 private:
   asio::awaitable<void> follow();
-  asio::awaitable<void> act();
+  asio::awaitable<void> maintainLeases();
   asio::awaitable<void> renewVoucher();
   asio::awaitable<bool> append(LeaseRecord record);
   asio::awaitable<void> pause(Millis wait);
