--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -132,14 +132,14 @@
     record.Author = Agent.Self.Node;
     due.push_back(std::move(record));
   }
-  for (const LeaseSubject &subject : needlessEjections())
+  for (const LeaseSubject &subject : ejectionsToRelease())
     due.push_back(ownRecord(LeaseAction::Release, subject));
   return due;
 }
 
 /// Ejections that are no longer wanted, and those that a service cannot
 /// afford since others of its endpoints have failed.
-std::vector<LeaseSubject> LeaseService::needlessEjections() {
+std::vector<LeaseSubject> LeaseService::ejectionsToRelease() {
   std::vector<LeaseSubject> needless;
   for (const auto &[subject, lease] : Agent.Ledger.Leases) {
     if (subject.Kind != LeaseKind::Ejection || lease.Holder != Agent.Self)
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -60,7 +60,7 @@
   asio::awaitable<bool> append(LeaseRecord record);
   asio::awaitable<void> pause(Millis wait);
   std::vector<LeaseRecord> dueRecords();
-  std::vector<LeaseSubject> needlessEjections();
+  std::vector<LeaseSubject> ejectionsToRelease();
   LeaseRecord ownRecord(LeaseAction action, const LeaseSubject &subject) const;
 
   asio::io_context &Io;
