--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t MaxHandedOn = 256;
 
 /// The ledger decides; this spares the log the requests that it would deny.
-bool leavesEnough(const LeaseRecord &record) {
+bool meetsFloor(const LeaseRecord &record) {
   return int(record.Healthy.size()) >= std::max(record.Floor, 1);
 }
 
@@ -123,7 +123,7 @@
     if (isHeld || now() - requestedAt < AcquirePeriod)
       continue;
     LeaseRecord record = Handlers.DescribeEjection(subject);
-    if (!leavesEnough(record))
+    if (!meetsFloor(record))
       continue;
     requestedAt = now();
     record.Action = LeaseAction::Acquire;
@@ -144,7 +144,7 @@
   for (const auto &[subject, lease] : Agent.Ledger.Leases) {
     if (subject.Kind != LeaseKind::Ejection || lease.Holder != Agent.Self)
       continue;
-    bool isAffordable = leavesEnough(Handlers.DescribeEjection(subject));
+    bool isAffordable = meetsFloor(Handlers.DescribeEjection(subject));
     if (!isAffordable)
       WantedEjections.erase(subject);
     if (!WantedEjections.contains(subject))
