--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -63,7 +63,7 @@
   Millis backoff = InitialBackoff;
   while (true) {
     Instant began = now();
-    Millis wait = HasRead ? PollWait : Millis(0);
+    Millis wait = HasReachedTail ? PollWait : Millis(0);
     ReadResult result = co_await Reader.read(Agent.Ledger.Next, wait);
     if (result.Status == LogStatus::Expired) {
       Agent.Ledger.Next = std::max(Agent.Ledger.Next, result.First);
@@ -89,8 +89,8 @@
         if (isKeeperGone && HandedOn.size() < MaxHandedOn)
           HandedOn.push_back(it.Holder);
       }
-    bool isAtTail = result.Records.empty() || HasRead;
-    HasRead = HasRead || result.Records.empty();
+    bool isAtTail = result.Records.empty() || HasReachedTail;
+    HasReachedTail = HasReachedTail || result.Records.empty();
     if (isAtTail)
       noteRead(Agent, began);
     Handlers.OnChange();
@@ -109,7 +109,7 @@
 
 std::vector<LeaseRecord> LeaseService::dueRecords() {
   std::vector<LeaseRecord> due = dueRenewals(Agent, now());
-  if (!HasRead)
+  if (!HasReachedTail)
     return due;
   for (LeaseRecord &it : dueChallenges(Agent, Handlers.Members(), now()))
     due.push_back(std::move(it));
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -73,7 +73,7 @@
   std::map<LeaseSubject, Instant> WantedEjections;
   std::vector<LeaseHolder> HandedOn;
   Instant KeeperRequestedAt;
-  bool HasRead = false;
+  bool HasReachedTail = false;
   bool IsResigned = false;
 };
 
