--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -119,7 +119,7 @@
 }
 
 bool KeyService::isKeeperOf(const std::vector<LeaseHolder> &ranked) const {
-  bool isHeld = View->KeeperUntil && now() < *View->KeeperUntil;
+  bool isHeld = View->KeeperLeaseEnd && now() < *View->KeeperLeaseEnd;
   return isHeld && !IsResigned && !ranked.empty() && ranked.front() == Self;
 }
 
--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -204,7 +204,7 @@
   return ends;
 }
 
-std::optional<Instant> LeaseService::keeperUntil() const {
+std::optional<Instant> LeaseService::keeperLeaseEnd() const {
   if (IsResigned)
     return std::nullopt;
   return leaseEnd(Agent, Keeper);
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -41,7 +41,7 @@
   /// Ends of the ejection leases held, by endpoint.
   std::map<std::string, Instant> ejections() const;
 
-  std::optional<Instant> keeperUntil() const;
+  std::optional<Instant> keeperLeaseEnd() const;
 
   /// Keepers that have left in order.
   const std::vector<LeaseHolder> &handedOn() const { return HandedOn; }
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -382,7 +382,7 @@
   view->Keepers = keeperRoster(Leases.agent().Ledger);
   view->KeepersOffset = Leases.agent().Ledger.Next;
   view->HandedOn = Leases.handedOn();
-  view->KeeperUntil = Leases.keeperUntil();
+  view->KeeperLeaseEnd = Leases.keeperLeaseEnd();
   for (const auto &[name, service] : view->Services)
     view->Root.MaxBodyBytes =
         std::max(view->Root.MaxBodyBytes, service.Policy.MaxBodyBytes);
--- a/src/libfleet/node/fleetview.h
+++ b/src/libfleet/node/fleetview.h
@@ -61,7 +61,7 @@
   /// Keepers that have left after handing on their records.
   std::vector<LeaseHolder> HandedOn;
   /// End of this node's own keeper lease, by its clock.
-  std::optional<Instant> KeeperUntil;
+  std::optional<Instant> KeeperLeaseEnd;
 };
 
 using FleetViewPtr = std::shared_ptr<const FleetView>;
