--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -31,7 +31,7 @@
   return answer;
 }
 
-HttpAnswer fault(int status, const std::string &reason) {
+HttpAnswer errorAnswer(int status, const std::string &reason) {
   return jsonAnswer(status, {{"error", reason}});
 }
 
@@ -133,7 +133,7 @@
 
 HttpAnswer announcedAnswer(const std::optional<std::int64_t> &generation) {
   if (!generation)
-    return fault(503, "the node is leaving");
+    return errorAnswer(503, "the node is leaving");
   return jsonAnswer(
       200, {{"generation", *generation}, {"heartbeat_ms", HeartbeatMs}});
 }
@@ -180,13 +180,13 @@
     co_return jsonAnswer(200, status(std::move(endpoints)));
   if (target == "/metrics" && isGet)
     co_return metricsAnswer(Counters, Owner.gauges());
-  co_return fault(404, "no such resource");
+  co_return errorAnswer(404, "no such resource");
 }
 
 asio::awaitable<HttpAnswer> AdminFront::serveMetrics(HttpRequest request) {
   bool isAsked = request.Target == "/metrics" && request.Method == "GET";
   if (!isAsked)
-    co_return fault(404, "no such resource");
+    co_return errorAnswer(404, "no such resource");
   co_return co_await asio::co_spawn(
       Io, serveOperator(std::move(request), json::array()),
       asio::use_awaitable);
@@ -203,7 +203,7 @@
   std::optional<Announcement> facts =
       parseAnnouncement(*request.Content, reason);
   if (!facts)
-    co_return fault(400, reason);
+    co_return errorAnswer(400, reason);
   std::optional<std::int64_t> generation =
       co_await Handlers.OnAnnounce(std::move(*facts));
   co_return announcedAnswer(generation);
@@ -213,12 +213,12 @@
   if (auto *malformed = std::get_if<MalformedAnnouncement>(&message)) {
     logEvent(LogLevel::Warn, "announcement_malformed",
              {{"reason", malformed->Reason}});
-    co_return fault(400, malformed->Reason);
+    co_return errorAnswer(400, malformed->Reason);
   }
   if (auto *departure = std::get_if<Departure>(&message)) {
     bool isDone = co_await Handlers.OnDepart(departure->Name);
     co_return isDone ? jsonAnswer(200, json::object())
-                     : fault(503, "the node is leaving");
+                     : errorAnswer(503, "the node is leaving");
   }
   std::optional<std::int64_t> generation =
       co_await Handlers.OnAnnounce(std::get<Announcement>(std::move(message)));
@@ -234,7 +234,7 @@
   std::string reason;
   std::optional<SettingsChange> parsed = parseChange(*request.Content, reason);
   if (!parsed)
-    co_return fault(400, reason);
+    co_return errorAnswer(400, reason);
   std::vector<SettingsFault> faults;
   if (!parsed->Value.is_null())
     faults = checkSettingsValue(parsed->Path, parsed->Value);
@@ -250,7 +250,7 @@
   if (path.empty())
     path = "/";
   if (std::string reason = settingsPathFault(path); !reason.empty())
-    return fault(400, path + ": " + reason);
+    return errorAnswer(400, path + ": " + reason);
   const SettingsTree &tree = Owner.settings().state().Tree;
   json keys = json::object();
   for (const EffectiveValue &it : effectiveValues(tree, path))
