--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -156,7 +156,7 @@
   if (Handlers.ParseMessage) {
     EndpointMessage message = Handlers.ParseMessage(request);
     if (!std::holds_alternative<std::monostate>(message))
-      co_return co_await takeMessage(std::move(message));
+      co_return co_await handleEndpointMessage(std::move(message));
   }
   if (target == EndpointsPath && request.Method == "POST")
     co_return co_await announce(request);
@@ -209,7 +209,8 @@
   co_return announcedAnswer(generation);
 }
 
-asio::awaitable<HttpAnswer> AdminFront::takeMessage(EndpointMessage message) {
+asio::awaitable<HttpAnswer>
+AdminFront::handleEndpointMessage(EndpointMessage message) {
   if (auto *malformed = std::get_if<MalformedAnnouncement>(&message)) {
     logEvent(LogLevel::Warn, "announcement_malformed",
              {{"reason", malformed->Reason}});
--- a/src/libfleet/node/adminfront.h
+++ b/src/libfleet/node/adminfront.h
@@ -47,7 +47,7 @@
   asio::awaitable<HttpAnswer> serveOperator(HttpRequest request,
                                             nlohmann::json endpoints);
   asio::awaitable<HttpAnswer> announce(const HttpRequest &request);
-  asio::awaitable<HttpAnswer> takeMessage(EndpointMessage message);
+  asio::awaitable<HttpAnswer> handleEndpointMessage(EndpointMessage message);
   asio::awaitable<HttpAnswer> change(const HttpRequest &request);
   nlohmann::json status(nlohmann::json endpoints) const;
   HttpAnswer withdraw(const std::string &target);
