--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -149,7 +149,8 @@
 
 AdminFront::AdminFront(asio::io_context &io, Control &control, Metrics &metrics,
                        Events events)
-    : Io(io), Owner(control), Counters(metrics), Handlers(std::move(events)) {}
+    : Io(io), NodeControl(control), Counters(metrics),
+      Handlers(std::move(events)) {}
 
 asio::awaitable<HttpAnswer> AdminFront::serve(HttpRequest request) {
   const std::string &target = request.Target;
@@ -179,7 +180,7 @@
   if (target == "/v1/status" && isGet)
     co_return jsonAnswer(200, status(std::move(endpoints)));
   if (target == "/metrics" && isGet)
-    co_return metricsAnswer(Counters, Owner.gauges());
+    co_return metricsAnswer(Counters, NodeControl.gauges());
   co_return errorAnswer(404, "no such resource");
 }
 
@@ -193,7 +194,7 @@
 }
 
 json AdminFront::status(json endpoints) const {
-  json all = Owner.report();
+  json all = NodeControl.report();
   all["own_endpoints"] = std::move(endpoints);
   return all;
 }
@@ -242,7 +243,7 @@
   if (!faults.empty())
     co_return invalidAnswer(faults);
   std::optional<ChangeVerdict> verdict =
-      co_await Owner.settings().publish(*parsed, PublishLimit);
+      co_await NodeControl.settings().publish(*parsed, PublishLimit);
   co_return verdictAnswer(verdict);
 }
 
@@ -252,7 +253,7 @@
     path = "/";
   if (std::string reason = settingsPathFault(path); !reason.empty())
     return errorAnswer(400, path + ": " + reason);
-  const SettingsTree &tree = Owner.settings().state().Tree;
+  const SettingsTree &tree = NodeControl.settings().state().Tree;
   json keys = json::object();
   for (const EffectiveValue &it : effectiveValues(tree, path))
     keys[it.Key] = {
--- a/src/libfleet/node/adminfront.h
+++ b/src/libfleet/node/adminfront.h
@@ -54,7 +54,7 @@
   HttpAnswer settings(const std::string &target) const;
 
   asio::io_context &Io;
-  Control &Owner;
+  Control &NodeControl;
   Metrics &Counters;
   Events Handlers;
 };
