--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -83,7 +83,7 @@
   Metrics Counters;
   Loop ControlLoop;
   std::vector<std::unique_ptr<Loop>> Traffic;
-  std::unique_ptr<Control> Brain;
+  std::unique_ptr<Control> NodeControl;
   std::unique_ptr<GateService> Gate;
   std::vector<std::unique_ptr<Entry>> Entries;
   std::unique_ptr<KeyService> Keys;
@@ -112,7 +112,7 @@
   asio::io_context &control = ControlLoop.Io;
   asio::any_io_executor gateThread = Traffic[0]->Io.get_executor();
 
-  Brain = std::make_unique<Control>(
+  NodeControl = std::make_unique<Control>(
       control, Facts, BootId, Counters,
       Control::Events{
           [this](FleetViewPtr view) { applyView(view); },
@@ -132,24 +132,24 @@
           }});
 
   if (Platform)
-    Brain->usePlatform(*Platform);
+    NodeControl->usePlatform(*Platform);
 
   GateService::Events gateEvents;
   gateEvents.OnEndpoints = [this](std::vector<EndpointRecord> endpoints,
                                   std::vector<DepartedRecord> departed) {
     asio::post(ControlLoop.Io, [this, it = std::move(endpoints),
                                 gone = std::move(departed)]() mutable {
-      Brain->setEndpoints(std::move(it), std::move(gone));
+      NodeControl->setEndpoints(std::move(it), std::move(gone));
     });
   };
   gateEvents.OnEjection = [this](EjectionAction action) {
     asio::post(ControlLoop.Io, [this, it = std::move(action)] {
-      Brain->updateEjectionLease(it);
+      NodeControl->updateEjectionLease(it);
     });
   };
   gateEvents.OnCrash = [this](std::uint64_t fingerprint, CrashRecord record) {
     asio::post(ControlLoop.Io, [this, fingerprint, record] {
-      Brain->noteCrash(fingerprint, record);
+      NodeControl->noteCrash(fingerprint, record);
     });
   };
   Gate = std::make_unique<GateService>(gateThread, Facts, BootId, Dialect,
@@ -191,7 +191,7 @@
   adminEvents.ReportGate = [this] { return Gate->report(); };
   if (Platform)
     adminEvents.ParseMessage = Platform->ParseEndpointMessage;
-  Admin = std::make_unique<AdminFront>(control, *Brain, Counters,
+  Admin = std::make_unique<AdminFront>(control, *NodeControl, Counters,
                                        std::move(adminEvents));
   std::vector<HttpFront::Lane> adminLanes{
       {gateThread,
@@ -266,7 +266,7 @@
   asio::post(ControlLoop.Io, [this, from, stream = frame.stream] {
     wire::Frame reply;
     reply.stream = stream;
-    reply.__set_snapshot(Brain->snapshot());
+    reply.__set_snapshot(NodeControl->snapshot());
     asio::post(Traffic[0]->Io, [from, it = std::move(reply)]() mutable {
       from->send(std::move(it));
     });
@@ -278,7 +278,7 @@
   LeaseHolder keeper{frame.keyRequest.record.requestId,
                      frame.keyRequest.record.fingerprint};
   asio::post(ControlLoop.Io, [this, from, keeper, stream = frame.stream] {
-    bool isPromised = Brain->vouch(keeper);
+    bool isPromised = NodeControl->vouch(keeper);
     wire::Frame reply;
     reply.stream = stream;
     reply.keyReply.verdict =
@@ -334,7 +334,7 @@
   if (status.ok() && ReadyHttp)
     status = ReadyHttp->listen();
   if (status.ok())
-    status = Brain->start();
+    status = NodeControl->start();
   if (!status.ok())
     return status;
   AdminHttp->start();
@@ -390,7 +390,8 @@
       asio::co_spawn(Traffic[0]->Io, handOn(Keys.get()), asio::use_future)
           .get();
   if (isComplete)
-    asio::co_spawn(ControlLoop.Io, resign(Brain.get()), asio::use_future).get();
+    asio::co_spawn(ControlLoop.Io, resign(NodeControl.get()), asio::use_future)
+        .get();
 }
 
 // Called on the thread that also stops the node.
@@ -409,7 +410,7 @@
   logEvent(LogLevel::Info, "stopping", nlohmann::json::object());
   ControlLoop.call([this] {
     IsLeaving = true;
-    Brain->leave();
+    NodeControl->leave();
     return true;
   });
   Traffic[0]->call([this] {
