--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -46,7 +46,7 @@
 
 Control::Control(asio::io_context &io, const NodeSettings &settings,
                  std::int64_t bootId, Metrics &metrics, Events events)
-    : Io(io), Facts(settings), BootId(bootId), Handlers(std::move(events)),
+    : Io(io), Config(settings), BootId(bootId), Handlers(std::move(events)),
       Links(io.get_executor(),
             makeHello(settings.Node, bootId, settings.DataCentre),
             metrics.traffic()),
@@ -128,7 +128,7 @@
 
 std::vector<const Member *> Control::membersInService() const {
   std::vector<const Member *> all = peers(Members.state());
-  all.push_back(&Members.state().Members.at(Facts.Node));
+  all.push_back(&Members.state().Members.at(Config.Node));
   return all;
 }
 
@@ -153,7 +153,7 @@
   frame.stream = client->open(box, 0);
   std::int64_t stream = frame.stream;
   frame.keyRequest.operation = wire::KeyOperation::VOUCH;
-  frame.keyRequest.record.requestId = Facts.Node;
+  frame.keyRequest.record.requestId = Config.Node;
   frame.keyRequest.record.fingerprint = BootId;
   frame.__isset.keyRequest = true;
   client->channel().send(std::move(frame));
@@ -165,8 +165,8 @@
 
 void Control::usePlatform(const PlatformAdapter &platform) {
   asio::any_io_executor ex = Io.get_executor();
-  Settings.useDocumentSource(platform.MakeSettingsSource(ex, Facts));
-  Directory = platform.MakeDirectory(ex, Facts.PlatformAddress);
+  Settings.useDocumentSource(platform.MakeSettingsSource(ex, Config));
+  Directory = platform.MakeDirectory(ex, Config.PlatformAddress);
 }
 
 /// The nodes of the own data centre, who tell of the others, and a few of
@@ -177,7 +177,7 @@
   std::vector<std::string> seeds;
   std::size_t far = 0;
   for (const DirectoryEntry &it : entries)
-    if (it.DataCentre == Facts.DataCentre || far++ < FarSeeds)
+    if (it.DataCentre == Config.DataCentre || far++ < FarSeeds)
       seeds.push_back(it.Address);
   return seeds;
 }
@@ -188,9 +188,9 @@
   asio::steady_timer timer(Io);
   bool isEntered = false;
   while (!IsLeaving) {
-    DirectoryEntry own{Facts.AdvertisedAddress, Facts.DataCentre};
+    DirectoryEntry own{Config.AdvertisedAddress, Config.DataCentre};
     if (!isEntered)
-      isEntered = co_await Directory->enter(Facts.Node, std::move(own));
+      isEntered = co_await Directory->enter(Config.Node, std::move(own));
     auto entries = co_await Directory->list();
     if (entries)
       Members.addSeeds(chooseSeeds(std::move(*entries)));
@@ -208,7 +208,7 @@
   if (!status.ok())
     return status;
   Settings.start();
-  if (Directory && Facts.SettingsReaders > 0)
+  if (Directory && Config.SettingsReaders > 0)
     beatSettings();
   if (Directory)
     asio::co_spawn(Io, findNodes(), asio::detached);
@@ -221,11 +221,11 @@
 }
 
 void Control::describe(bool isUrgent) {
-  MemberRecord record = makeRecord(Facts, BootId);
+  MemberRecord record = makeRecord(Config, BootId);
   record.IsLeaving = IsLeaving;
   record.Endpoints = Endpoints;
   record.Departed = Departed;
-  if (Facts.KeepsStandingsNear)
+  if (Config.KeepsStandingsNear)
     for (EndpointRecord &it : record.Endpoints)
       it.State = isPassing(it.State) ? Standing::Healthy : it.State;
   // Documents would change the records of all members at once; their version
@@ -243,7 +243,7 @@
   Endpoints = std::move(endpoints);
   Departed = std::move(departed);
   describe(true);
-  if (Facts.KeepsStandingsNear)
+  if (Config.KeepsStandingsNear)
     reportStandings();
   scheduleRebuild();
 }
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -97,7 +97,7 @@
   void addMember(FleetView &view, const Member &member) const;
 
   asio::io_context &Io;
-  NodeSettings Facts;
+  NodeSettings Config;
   std::int64_t BootId;
   Events Handlers;
   PeerLinks Links;
--- a/src/libfleet/node/controlreport.cpp
+++ b/src/libfleet/node/controlreport.cpp
@@ -116,7 +116,7 @@
       {"settings_refused", std::move(refused)},
       {"keepers", std::move(keepers)},
       {"ejections", std::move(ejections)},
-      {"node", Facts.Node},
+      {"node", Config.Node},
       {"settings_next", Settings.state().Next},
       {"gossip_bytes_sent", gossipBytes()},
       {"settings_loaded", Settings.isLoaded()},
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -54,8 +54,8 @@
 }
 
 bool Control::isReader() const {
-  return Facts.SettingsReaders == 0 ||
-         rankInDataCentre(Members.state()) < std::size_t(Facts.SettingsReaders);
+  return Config.SettingsReaders == 0 || rankInDataCentre(Members.state()) <
+                                            std::size_t(Config.SettingsReaders);
 }
 
 /// Waits while a reader's word that the settings are the newest counts. At the
@@ -87,7 +87,7 @@
 
 void Control::spreadSettings() {
   std::int64_t next = Settings.state().Next;
-  if (Facts.SettingsReaders == 0 || next <= SpreadNext)
+  if (Config.SettingsReaders == 0 || next <= SpreadNext)
     return;
   SpreadNext = next;
   bool isFresh = isReader() && Settings.isLogReachable();
@@ -145,7 +145,7 @@
   for (const Member *peer : peers(Members.state()))
     addresses.push_back(peer->Record.FleetAddress);
   if (addresses.empty())
-    addresses = Facts.Seeds;
+    addresses = Config.Seeds;
   co_return co_await fetchSnapshotFrom(std::move(addresses), MaxSnapshotPeers);
 }
 
@@ -156,7 +156,7 @@
   addresses.resize(std::min(addresses.size(), most));
   bool hasAnswer = false;
   for (const std::string &address : addresses) {
-    if (address == Facts.AdvertisedAddress)
+    if (address == Config.AdvertisedAddress)
       continue;
     NodeView view;
     view.FleetAddress = address;
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -78,7 +78,7 @@
   void handOnKeys();
   bool isQuiet();
 
-  NodeSettings Facts;
+  NodeSettings Config;
   std::int64_t BootId = wallMicros();
   Metrics Counters;
   Loop ControlLoop;
@@ -101,24 +101,24 @@
   std::atomic<bool> IsLeaving = false;
 };
 
-Node::Parts::Parts(NodeSettings settings) : Facts(std::move(settings)) {
-  for (int i = 0; i < Facts.TrafficThreads; ++i)
+Node::Parts::Parts(NodeSettings settings) : Config(std::move(settings)) {
+  for (int i = 0; i < Config.TrafficThreads; ++i)
     Traffic.push_back(std::make_unique<Loop>());
-  if (!Facts.Platform.empty()) {
-    Platform = Registry<PlatformAdapter>::instance().find(Facts.Platform);
-    Facts = Platform->FitSettings(std::move(Facts));
+  if (!Config.Platform.empty()) {
+    Platform = Registry<PlatformAdapter>::instance().find(Config.Platform);
+    Config = Platform->FitSettings(std::move(Config));
     Dialect = Platform->Dialect();
   }
   asio::io_context &control = ControlLoop.Io;
   asio::any_io_executor gateThread = Traffic[0]->Io.get_executor();
 
   NodeControl = std::make_unique<Control>(
-      control, Facts, BootId, Counters,
+      control, Config, BootId, Counters,
       Control::Events{
           [this](FleetViewPtr view) { applyView(view); },
           [this] {
             IsReady = true;
-            if (!Facts.AcceptsBeforeReady)
+            if (!Config.AcceptsBeforeReady)
               asio::post(Traffic[0]->Io, [this] { Callers->start(); });
             logEvent(LogLevel::Info, "ready", nlohmann::json::object());
           },
@@ -152,13 +152,13 @@
       NodeControl->noteCrash(fingerprint, record);
     });
   };
-  Gate = std::make_unique<GateService>(gateThread, Facts, BootId, Dialect,
+  Gate = std::make_unique<GateService>(gateThread, Config, BootId, Dialect,
                                        Counters, std::move(gateEvents));
 
   std::vector<HttpFront::Lane> lanes;
   for (std::size_t i = 0; i < Traffic.size(); ++i) {
     Entries.push_back(std::make_unique<Entry>(
-        Traffic[i]->Io.get_executor(), Facts, BootId, i, Dialect, Counters));
+        Traffic[i]->Io.get_executor(), Config, BootId, i, Dialect, Counters));
     connectLocal(*Entries.back(), *Traffic[i]);
     lanes.push_back(
         {Traffic[i]->Io.get_executor(),
@@ -168,15 +168,15 @@
          }});
   }
   Keys = std::make_unique<KeyService>(
-      gateThread, LeaseHolder{Facts.Node, BootId}, Entries[0]->links());
+      gateThread, LeaseHolder{Config.Node, BootId}, Entries[0]->links());
   Relay = std::make_unique<RevokeRelay>(gateThread, Entries[0]->links());
   Server = std::make_unique<LinkServer>(
-      gateThread, Facts.FleetAddress,
-      makeHello(Facts.Node, BootId, Facts.DataCentre), Counters.traffic(),
+      gateThread, Config.FleetAddress,
+      makeHello(Config.Node, BootId, Config.DataCentre), Counters.traffic(),
       [this](const std::shared_ptr<FrameChannel> &from, wire::Frame frame) {
         takeFrame(from, std::move(frame));
       });
-  Callers = std::make_unique<HttpFront>(gateThread, Facts.HttpAddress,
+  Callers = std::make_unique<HttpFront>(gateThread, Config.HttpAddress,
                                         std::move(lanes), faultAnswer);
   AdminFront::Events adminEvents;
   adminEvents.OnAnnounce = [this](Announcement facts) {
@@ -199,11 +199,11 @@
          return Admin->serve(std::move(request));
        },
        false}};
-  AdminHttp = std::make_unique<HttpFront>(gateThread, Facts.AdminAddress,
+  AdminHttp = std::make_unique<HttpFront>(gateThread, Config.AdminAddress,
                                           std::move(adminLanes), faultAnswer);
-  if (!Facts.MetricsAddress.empty())
+  if (!Config.MetricsAddress.empty())
     MetricsHttp = std::make_unique<HttpFront>(
-        gateThread, Facts.MetricsAddress,
+        gateThread, Config.MetricsAddress,
         std::vector<HttpFront::Lane>{
             {gateThread,
              [this](HttpRequest request, std::shared_ptr<CallScope>) {
@@ -211,14 +211,14 @@
              },
              false}},
         faultAnswer);
-  if (Facts.ReadyAddress.empty())
+  if (Config.ReadyAddress.empty())
     return;
   std::vector<HttpFront::Lane> readyLanes{
       {gateThread,
        [this](HttpRequest, std::shared_ptr<CallScope>)
            -> asio::awaitable<HttpAnswer> { co_return readiness(); },
        false}};
-  ReadyHttp = std::make_unique<HttpFront>(gateThread, Facts.ReadyAddress,
+  ReadyHttp = std::make_unique<HttpFront>(gateThread, Config.ReadyAddress,
                                           std::move(readyLanes), faultAnswer);
 }
 
@@ -248,7 +248,7 @@
         takeFrame(toEntry, std::move(frame));
       });
   *holder = std::make_shared<GateClient>(toGate);
-  entry.links().setLocal(Facts.Node, *holder);
+  entry.links().setLocal(Config.Node, *holder);
 }
 
 void Node::Parts::takeFrame(const std::shared_ptr<FrameChannel> &from,
@@ -339,7 +339,7 @@
     return status;
   AdminHttp->start();
   startMetrics();
-  if (Facts.AcceptsBeforeReady)
+  if (Config.AcceptsBeforeReady)
     Callers->start();
   if (ReadyHttp)
     ReadyHttp->start();
@@ -351,9 +351,9 @@
   ControlLoop.start();
   logEvent(LogLevel::Info, "started",
            {{"boot_id", BootId},
-            {"http", Facts.HttpAddress},
-            {"fleet", Facts.FleetAddress},
-            {"admin", Facts.AdminAddress}});
+            {"http", Config.HttpAddress},
+            {"fleet", Config.FleetAddress},
+            {"admin", Config.AdminAddress}});
   return absl::OkStatus();
 }
 
@@ -397,12 +397,12 @@
 // Called on the thread that also stops the node.
 bool Node::Parts::reload(const NodeSettings &read) {
   NodeSettings settings = Platform ? Platform->FitSettings(read) : read;
-  Facts.DrainLimit = settings.DrainLimit;
-  Facts.Linger = settings.Linger;
-  if (settings.LogLevel != Facts.LogLevel)
+  Config.DrainLimit = settings.DrainLimit;
+  Config.Linger = settings.Linger;
+  if (settings.LogLevel != Config.LogLevel)
     setLogLevel(settings.LogLevel);
-  Facts.LogLevel = settings.LogLevel;
-  return Facts == settings;
+  Config.LogLevel = settings.LogLevel;
+  return Config == settings;
 }
 
 bool Node::Parts::stop() {
@@ -427,10 +427,10 @@
     handOnKeys();
   bool isClean = false;
   bool isAccepting = true;
-  Instant end = begin + Facts.Linger + Facts.DrainLimit;
+  Instant end = begin + Config.Linger + Config.DrainLimit;
   while (!isClean && now() < end) {
     pauseFor(StopPoll);
-    bool hasLingered = now() - begin >= Facts.Linger;
+    bool hasLingered = now() - begin >= Config.Linger;
     if (hasLingered && std::exchange(isAccepting, false))
       Traffic[0]->call([this] {
         Callers->stop();
