--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -59,8 +59,8 @@
 
 } // namespace
 
-struct Node::Parts {
-  explicit Parts(NodeSettings settings);
+struct Node::Impl {
+  explicit Impl(NodeSettings settings);
 
   absl::Status start();
   void startMetrics();
@@ -101,7 +101,7 @@
   std::atomic<bool> IsLeaving = false;
 };
 
-Node::Parts::Parts(NodeSettings settings) : Config(std::move(settings)) {
+Node::Impl::Impl(NodeSettings settings) : Config(std::move(settings)) {
   for (int i = 0; i < Config.TrafficThreads; ++i)
     Traffic.push_back(std::make_unique<Loop>());
   if (!Config.Platform.empty()) {
@@ -222,7 +222,7 @@
                                           std::move(readyLanes), faultAnswer);
 }
 
-HttpAnswer Node::Parts::readiness() const {
+HttpAnswer Node::Impl::readiness() const {
   constexpr int ok = 200;
   constexpr int unavailable = 503;
   HttpAnswer answer;
@@ -232,13 +232,13 @@
 
 /// Returns once no more requests go to an endpoint that has left. Called on the
 /// gate's thread, as announce() is.
-asio::awaitable<bool> Node::Parts::depart(std::string endpoint) {
+asio::awaitable<bool> Node::Impl::depart(std::string endpoint) {
   Gate->withdrawEndpoint(endpoint);
   co_return true;
 }
 
 /// An entry reaches the gate of its own node by a direct call.
-void Node::Parts::connectLocal(Entry &entry, Loop &loop) {
+void Node::Impl::connectLocal(Entry &entry, Loop &loop) {
   auto holder = std::make_shared<std::shared_ptr<GateClient>>();
   auto toEntry = std::make_shared<LocalChannel>(
       loop.Io.get_executor(),
@@ -251,8 +251,8 @@
   entry.links().setLocal(Config.Node, *holder);
 }
 
-void Node::Parts::takeFrame(const std::shared_ptr<FrameChannel> &from,
-                            wire::Frame frame) {
+void Node::Impl::takeFrame(const std::shared_ptr<FrameChannel> &from,
+                           wire::Frame frame) {
   bool isVouch = frame.__isset.keyRequest &&
                  frame.keyRequest.operation == wire::KeyOperation::VOUCH;
   if (isVouch)
@@ -273,8 +273,8 @@
   });
 }
 
-void Node::Parts::vouch(const std::shared_ptr<FrameChannel> &from,
-                        const wire::Frame &frame) {
+void Node::Impl::vouch(const std::shared_ptr<FrameChannel> &from,
+                       const wire::Frame &frame) {
   LeaseHolder keeper{frame.keyRequest.record.requestId,
                      frame.keyRequest.record.fingerprint};
   asio::post(ControlLoop.Io, [this, from, keeper, stream = frame.stream] {
@@ -291,7 +291,7 @@
 }
 
 /// The gate hears the end of each lease, and of each that is no longer held.
-void Node::Parts::applyEjections(std::map<std::string, Instant> ends) {
+void Node::Impl::applyEjections(std::map<std::string, Instant> ends) {
   asio::post(Traffic[0]->Io, [this, it = std::move(ends)] {
     for (const auto &[endpoint, end] : it)
       Gate->applyEjection(endpoint, end);
@@ -303,13 +303,13 @@
 }
 
 asio::awaitable<std::optional<std::int64_t>>
-Node::Parts::announce(Announcement facts) {
+Node::Impl::announce(Announcement facts) {
   if (IsLeaving && !facts.IsDraining)
     co_return std::nullopt;
   co_return Gate->announceEndpoint(facts);
 }
 
-void Node::Parts::applyView(const FleetViewPtr &view) {
+void Node::Impl::applyView(const FleetViewPtr &view) {
   HttpLimits &limits = Callers->limits();
   limits.HeaderBytes = std::uint32_t(view->Root.MaxHeaderBytes);
   limits.BodyBytes = std::uint64_t(view->Root.MaxBodyBytes);
@@ -325,7 +325,7 @@
                [this, i, view] { Entries[i]->applyView(view); });
 }
 
-absl::Status Node::Parts::start() {
+absl::Status Node::Impl::start() {
   absl::Status status = Server->start();
   if (status.ok())
     status = Callers->listen();
@@ -358,7 +358,7 @@
 }
 
 /// A node without metrics still serves.
-void Node::Parts::startMetrics() {
+void Node::Impl::startMetrics() {
   if (!MetricsHttp)
     return;
   absl::Status status = MetricsHttp->listen();
@@ -369,7 +369,7 @@
              {{"reason", std::string(status.message())}});
 }
 
-bool Node::Parts::isQuiet() {
+bool Node::Impl::isQuiet() {
   bool isGateQuiet =
       Traffic[0]->call([this] { return Gate->idle() && !Callers->isBusy(); });
   std::size_t inFlight = 0;
@@ -379,7 +379,7 @@
 }
 
 /// Gives the kept keys to their successors, then the keeper lease back.
-void Node::Parts::handOnKeys() {
+void Node::Impl::handOnKeys() {
   auto handOn = [](KeyService *keys) -> asio::awaitable<bool> {
     co_return co_await keys->handOn(HandOnLimit);
   };
@@ -395,7 +395,7 @@
 }
 
 // Called on the thread that also stops the node.
-bool Node::Parts::reload(const NodeSettings &read) {
+bool Node::Impl::reload(const NodeSettings &read) {
   NodeSettings settings = Platform ? Platform->FitSettings(read) : read;
   Config.DrainLimit = settings.DrainLimit;
   Config.Linger = settings.Linger;
@@ -405,7 +405,7 @@
   return Config == settings;
 }
 
-bool Node::Parts::stop() {
+bool Node::Impl::stop() {
   Instant begin = now();
   logEvent(LogLevel::Info, "stopping", nlohmann::json::object());
   ControlLoop.call([this] {
@@ -448,16 +448,16 @@
 }
 
 Node::Node(NodeSettings settings)
-    : All(std::make_unique<Parts>(std::move(settings))) {}
+    : Pimpl(std::make_unique<Impl>(std::move(settings))) {}
 
 Node::~Node() = default;
 
-absl::Status Node::start() { return All->start(); }
+absl::Status Node::start() { return Pimpl->start(); }
 
 bool Node::reload(const NodeSettings &settings) {
-  return All->reload(settings);
+  return Pimpl->reload(settings);
 }
 
-bool Node::stop() { return All->stop(); }
+bool Node::stop() { return Pimpl->stop(); }
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/node/node.h
+++ b/src/libfleet/node/node.h
@@ -28,8 +28,8 @@
   bool stop();
 
 private:
-  struct Parts;
-  std::unique_ptr<Parts> All;
+  struct Impl;
+  std::unique_ptr<Impl> Pimpl;
 };
 
 } // namespace hickoryglade::fleet
