--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -18,7 +18,7 @@
 constexpr int HeartbeatMs = 1'000;
 constexpr int MaxSlots = 10'000;
 constexpr std::size_t MaxNameBytes = 200;
-constexpr Millis PublishLimit = std::chrono::seconds(10);
+constexpr Millis PublishTimeout = std::chrono::seconds(10);
 constexpr std::string_view EndpointsPath = "/v1/endpoints";
 constexpr std::string_view SettingsPath = "/v1/settings";
 
@@ -243,7 +243,7 @@
   if (!faults.empty())
     co_return invalidAnswer(faults);
   std::optional<ChangeVerdict> verdict =
-      co_await NodeControl.settings().publish(*parsed, PublishLimit);
+      co_await NodeControl.settings().publish(*parsed, PublishTimeout);
   co_return verdictAnswer(verdict);
 }
 
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -19,7 +19,7 @@
 
 /// Changes within this time make one view.
 constexpr Micros RebuildDelay = std::chrono::milliseconds(5);
-constexpr Micros VouchLimit = std::chrono::milliseconds(800);
+constexpr Micros VoucherTimeout = std::chrono::milliseconds(800);
 constexpr Millis ReadyPoll = std::chrono::milliseconds(100);
 constexpr Micros LonelyTerm = std::chrono::milliseconds(1'500);
 
@@ -145,7 +145,7 @@
   NodeView view;
   view.FleetAddress = member->second.Record.FleetAddress;
   auto client =
-      co_await Links.connect(view.FleetAddress, view, now() + VouchLimit);
+      co_await Links.connect(view.FleetAddress, view, now() + VoucherTimeout);
   if (!client)
     co_return false;
   auto box = std::make_shared<StreamMailbox>(Io.get_executor());
@@ -157,7 +157,7 @@
   frame.keyRequest.record.fingerprint = BootId;
   frame.__isset.keyRequest = true;
   client->channel().send(std::move(frame));
-  std::optional<StreamEvent> event = co_await box->next(now() + VouchLimit);
+  std::optional<StreamEvent> event = co_await box->next(now() + VoucherTimeout);
   client->forget(stream);
   auto *reply = event ? std::get_if<wire::KeyReply>(&event->Content) : nullptr;
   co_return reply && reply->verdict == int(KeyVerdict::Granted);
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Micros SnapshotLimit = std::chrono::milliseconds(800);
+constexpr Micros SnapshotTimeout = std::chrono::milliseconds(800);
 constexpr std::size_t MaxSnapshotPeers = 3;
 
 /// News of a settings document reaches most nodes from the store this soon;
@@ -160,7 +160,8 @@
       continue;
     NodeView view;
     view.FleetAddress = address;
-    auto client = co_await Links.connect(address, view, now() + SnapshotLimit);
+    auto client =
+        co_await Links.connect(address, view, now() + SnapshotTimeout);
     if (!client)
       continue;
     auto box = std::make_shared<StreamMailbox>(Io.get_executor());
@@ -170,7 +171,7 @@
     frame.__set_snapshotRequest({});
     client->channel().send(std::move(frame));
     std::optional<StreamEvent> event =
-        co_await box->next(now() + SnapshotLimit);
+        co_await box->next(now() + SnapshotTimeout);
     client->forget(stream);
     auto *content =
         event ? std::get_if<wire::Snapshot>(&event->Content) : nullptr;
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -29,7 +29,7 @@
 
 namespace {
 
-constexpr Millis HandOnLimit = std::chrono::seconds(2);
+constexpr Millis HandOnTimeout = std::chrono::seconds(2);
 constexpr Millis StopPoll = std::chrono::milliseconds(20);
 
 HttpAnswer faultAnswer(int status) {
@@ -381,10 +381,10 @@
 /// Gives the kept keys to their successors, then the keeper lease back.
 void Node::Impl::handOnKeys() {
   auto handOn = [](KeyService *keys) -> asio::awaitable<bool> {
-    co_return co_await keys->handOn(HandOnLimit);
+    co_return co_await keys->handOn(HandOnTimeout);
   };
   auto resign = [](Control *control) -> asio::awaitable<bool> {
-    co_return co_await control->resign(HandOnLimit);
+    co_return co_await control->resign(HandOnTimeout);
   };
   bool isComplete =
       asio::co_spawn(Traffic[0]->Io, handOn(Keys.get()), asio::use_future)
