--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -184,7 +184,7 @@
 
 /// Enters this node into the directory, then looks for others until one is
 /// known; gossip brings the rest.
-asio::awaitable<void> Control::findNodes() {
+asio::awaitable<void> Control::discoverNodes() {
   asio::steady_timer timer(Io);
   bool isEntered = false;
   while (!IsLeaving) {
@@ -211,7 +211,7 @@
   if (Directory && Config.SettingsReaders > 0)
     beatSettings();
   if (Directory)
-    asio::co_spawn(Io, findNodes(), asio::detached);
+    asio::co_spawn(Io, discoverNodes(), asio::detached);
   else
     Leases.start();
   scheduleRebuild();
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -93,7 +93,7 @@
   asio::awaitable<void> awaitReady();
   std::vector<std::string>
   chooseSeeds(std::vector<DirectoryEntry> entries) const;
-  asio::awaitable<void> findNodes();
+  asio::awaitable<void> discoverNodes();
   void addMember(FleetView &view, const Member &member) const;
 
   asio::io_context &Io;
