--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -21,12 +21,12 @@
 constexpr Micros RebuildDelay = std::chrono::milliseconds(5);
 constexpr Micros VoucherTimeout = std::chrono::milliseconds(800);
 constexpr Millis ReadyPoll = std::chrono::milliseconds(100);
-constexpr Micros LonelyTerm = std::chrono::milliseconds(1'500);
+constexpr Micros PeerDiscoveryWait = std::chrono::milliseconds(1'500);
 
 /// Between tries to reach the directory, and between looks into it while no
 /// other node is known.
-constexpr Millis DirectoryPause = std::chrono::milliseconds(500);
-constexpr Millis LonelyPause = std::chrono::seconds(2);
+constexpr Millis DirectoryRetryDelay = std::chrono::milliseconds(500);
+constexpr Millis DiscoveryPeriod = std::chrono::seconds(2);
 
 /// Nodes of other data centres that a node which starts asks by itself.
 constexpr std::size_t FarSeeds = 2;
@@ -196,7 +196,7 @@
       Members.addSeeds(chooseSeeds(std::move(*entries)));
     else
       logEvent(LogLevel::Warn, "directory_unreachable", json::object());
-    timer.expires_after(entries ? LonelyPause : DirectoryPause);
+    timer.expires_after(entries ? DiscoveryPeriod : DirectoryRetryDelay);
     co_await timer.async_wait(asio::use_awaitable);
     if (isEntered && !peers(Members.state()).empty())
       co_return;
@@ -302,7 +302,7 @@
     timer.expires_after(ReadyPoll);
     co_await timer.async_wait(asio::use_awaitable);
     bool hasMembers = !peers(Members.state()).empty();
-    bool hasWaited = now() - start > LonelyTerm;
+    bool hasWaited = now() - start > PeerDiscoveryWait;
     isReady = Settings.isLoaded() && (hasMembers || hasWaited);
   }
   timer.expires_after(ReadyPoll);
