--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -29,7 +29,7 @@
 constexpr Millis DiscoveryPeriod = std::chrono::seconds(2);
 
 /// Nodes of other data centres that a node which starts asks by itself.
-constexpr std::size_t FarSeeds = 2;
+constexpr std::size_t RemoteSeeds = 2;
 
 MemberRecord makeRecord(const NodeSettings &settings, std::int64_t bootId) {
   MemberRecord record;
@@ -177,7 +177,7 @@
   std::vector<std::string> seeds;
   std::size_t far = 0;
   for (const DirectoryEntry &it : entries)
-    if (it.DataCentre == Config.DataCentre || far++ < FarSeeds)
+    if (it.DataCentre == Config.DataCentre || far++ < RemoteSeeds)
       seeds.push_back(it.Address);
   return seeds;
 }
