--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -82,7 +82,7 @@
                 [this] { return awaitPollDue(); }}),
       Leases(io, settings.LogAddress, settings.StreamPrefix + ".leases",
              {settings.Node, bootId}, metrics, leaseEvents()),
-      RebuildTimer(io), StandingTimer(io), BeatTimer(io),
+      RebuildTimer(io), StandingTimer(io), FreshnessTimer(io),
       Traffic(metrics.traffic()), TrafficTimer(io) {
   OwnStandings.Node = settings.Node;
   OwnStandings.BootId = bootId;
@@ -209,7 +209,7 @@
     return status;
   Settings.start();
   if (Directory && Config.SettingsReaders > 0)
-    beatSettings();
+    scheduleFreshnessNotice();
   if (Directory)
     asio::co_spawn(Io, discoverNodes(), asio::detached);
   else
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -83,7 +83,7 @@
   void followPeers();
   bool isReader() const;
   void noteFresh(std::int64_t next);
-  void beatSettings();
+  void scheduleFreshnessNotice();
   asio::awaitable<void> awaitPollDue();
   std::vector<std::string> newestHolders() const;
   bool isBehind() const;
@@ -114,7 +114,7 @@
   StandingReport OwnStandings;
   StandingBoard Standings;
   asio::steady_timer StandingTimer;
-  asio::steady_timer BeatTimer;
+  asio::steady_timer FreshnessTimer;
   /// Until when the settings are known to be the newest by others' word.
   Instant FreshUntil;
   TrafficCounters &Traffic;
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -30,7 +30,7 @@
 /// Between a reader's words to its data centre that it follows the source of
 /// settings, and how long each counts. One may be lost before others read for
 /// themselves, which leaves most of the 2 s in which a change must be in force.
-constexpr Micros BeatPeriod = std::chrono::milliseconds(500);
+constexpr Micros FreshnessPeriod = std::chrono::milliseconds(500);
 constexpr Micros FreshTerm = std::chrono::milliseconds(1'200);
 
 /// Members of the data centre that a node tells of settings it has taken.
@@ -73,15 +73,15 @@
 }
 
 /// While this node reads the source of settings, tells its data centre so.
-void Control::beatSettings() {
-  BeatTimer.expires_after(BeatPeriod);
-  BeatTimer.async_wait([this](const error_code &ec) {
+void Control::scheduleFreshnessNotice() {
+  FreshnessTimer.expires_after(FreshnessPeriod);
+  FreshnessTimer.async_wait([this](const error_code &ec) {
     if (ec || IsLeaving)
       return;
     if (isReader() && Settings.isLogReachable() && Settings.isLoaded() &&
         !isBehind())
       Members.spreadSettings(peers(Members.state()).size(), true);
-    beatSettings();
+    scheduleFreshnessNotice();
   });
 }
 
