--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -66,7 +66,7 @@
                  if (wasEmpty)
                    repeatStandings();
                },
-               [this](std::int64_t next) { noteFresh(next); },
+               [this](std::int64_t next) { noteFreshSettings(next); },
                [this](std::vector<DepartedRecord> departed) {
                  Handlers.OnDeparted(std::move(departed));
                }}),
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -82,7 +82,7 @@
   void repeatStandings();
   void followPeers();
   bool isReader() const;
-  void noteFresh(std::int64_t next);
+  void noteFreshSettings(std::int64_t next);
   void scheduleFreshnessNotice();
   asio::awaitable<void> awaitPollDue();
   std::vector<std::string> newestHolders() const;
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -39,7 +39,7 @@
 } // namespace
 
 /// One that is behind reads for itself if it cannot catch up.
-void Control::noteFresh(std::int64_t next) {
+void Control::noteFreshSettings(std::int64_t next) {
   if (next >= Settings.state().Next && !isBehind())
     FreshUntil = now() + FreshTerm;
 }
