--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -58,7 +58,7 @@
                  if (mergeCrash(Crashes, fingerprint, record))
                    scheduleRebuild();
                },
-               [this] { followPeers(); },
+               [this] { startCatchUp(); },
                [this](const StandingReport &report) {
                  bool wasEmpty = Standings.Entries.empty();
                  if (takeReport(Standings, report, now()))
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -80,7 +80,7 @@
   void describe(bool isUrgent);
   void reportStandings();
   void repeatStandings();
-  void followPeers();
+  void startCatchUp();
   bool isReader() const;
   void noteFreshSettings(std::int64_t next);
   void scheduleFreshnessNotice();
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -46,7 +46,7 @@
 
 /// A node that the store does not serve takes newer settings from a member
 /// that says it has them.
-void Control::followPeers() {
+void Control::startCatchUp() {
   if (!Directory || IsCatchingUp || !isBehind())
     return;
   IsCatchingUp = true;
