--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -25,7 +25,7 @@
 
 /// Those for whom others read ask at a time within this, so that they do not
 /// all ask the first to know.
-constexpr std::uint64_t FollowSpreadMs = 120;
+constexpr std::uint64_t CatchUpJitterMs = 120;
 
 /// Between a reader's words to its data centre that it follows the source of
 /// settings, and how long each counts. One may be lost before others read for
@@ -115,7 +115,7 @@
   while (isBehind()) {
     Millis delay = CatchUpDelay;
     if (!isReader())
-      delay = Millis(std::uint64_t(wallMicros()) % FollowSpreadMs);
+      delay = Millis(std::uint64_t(wallMicros()) % CatchUpJitterMs);
     timer.expires_after(delay);
     co_await timer.async_wait(asio::use_awaitable);
     if (!isBehind())
