--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -85,7 +85,7 @@
   void noteFreshSettings(std::int64_t next);
   void scheduleFreshnessNotice();
   asio::awaitable<void> awaitPollDue();
-  std::vector<std::string> newestHolders() const;
+  std::vector<std::string> membersWithNewestSettings() const;
   bool isBehind() const;
   asio::awaitable<void> catchUp();
   void scheduleRebuild();
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -101,7 +101,7 @@
 
 /// Members that have the newest settings, those of the own data centre if there
 /// are any.
-std::vector<std::string> Control::newestHolders() const {
+std::vector<std::string> Control::membersWithNewestSettings() const {
   std::vector<std::string> all = Members.state().Newest.Addresses;
   std::vector<std::string> near;
   for (const Member *peer : nearPeers(Members.state()))
@@ -120,7 +120,7 @@
     co_await timer.async_wait(asio::use_awaitable);
     if (!isBehind())
       break;
-    bool hasAnswer = co_await fetchSnapshotFrom(newestHolders(), 1);
+    bool hasAnswer = co_await fetchSnapshotFrom(membersWithNewestSettings(), 1);
     if (!hasAnswer)
       hasAnswer = co_await fetchSnapshot();
     logEvent(LogLevel::Info, "settings_from_peer",
