--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -64,7 +64,7 @@
                  if (takeReport(Standings, report, now()))
                    scheduleRebuild();
                  if (wasEmpty)
-                   repeatStandings();
+                   scheduleStandingRepeat();
                },
                [this](std::int64_t next) { noteFreshSettings(next); },
                [this](std::vector<DepartedRecord> departed) {
@@ -259,12 +259,12 @@
   ++OwnStandings.Sequence;
   takeReport(Standings, OwnStandings, now());
   Members.spreadStandings(OwnStandings);
-  repeatStandings();
+  scheduleStandingRepeat();
 }
 
 /// Goes on while an endpoint's standing is a passing one, or another node's
 /// report may lapse.
-void Control::repeatStandings() {
+void Control::scheduleStandingRepeat() {
   StandingTimer.expires_after(StandingRepeat);
   StandingTimer.async_wait([this](const error_code &ec) {
     if (ec)
@@ -277,7 +277,7 @@
     if (expireReports(Standings, now()))
       scheduleRebuild();
     if (!Standings.Entries.empty())
-      repeatStandings();
+      scheduleStandingRepeat();
   });
 }
 
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -79,7 +79,7 @@
   std::size_t refreshRank(const std::string &what) const;
   void describe(bool isUrgent);
   void reportStandings();
-  void repeatStandings();
+  void scheduleStandingRepeat();
   void startCatchUp();
   bool isReader() const;
   void noteFreshSettings(std::int64_t next);
