--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -73,7 +73,7 @@
       Settings(io, settings.LogAddress, settings.StreamPrefix + ".settings",
                settings.LogRetention, metrics,
                {[this] {
-                  describe(false);
+                  updateOwnRecord(false);
                   spreadSettings();
                   scheduleRebuild();
                 },
@@ -91,7 +91,7 @@
 LeaseService::Events Control::leaseEvents() {
   LeaseService::Events events;
   events.OnChange = [this] {
-    describe(false);
+    updateOwnRecord(false);
     scheduleRebuild();
     Handlers.OnEjections(Leases.ejections());
   };
@@ -220,7 +220,7 @@
   return absl::OkStatus();
 }
 
-void Control::describe(bool isUrgent) {
+void Control::updateOwnRecord(bool isUrgent) {
   MemberRecord record = makeRecord(Config, BootId);
   record.IsLeaving = IsLeaving;
   record.Endpoints = Endpoints;
@@ -242,7 +242,7 @@
                            std::vector<DepartedRecord> departed) {
   Endpoints = std::move(endpoints);
   Departed = std::move(departed);
-  describe(true);
+  updateOwnRecord(true);
   if (Config.KeepsStandingsNear)
     reportStandings();
   scheduleRebuild();
@@ -289,7 +289,7 @@
 
 void Control::leave() {
   IsLeaving = true;
-  describe(true);
+  updateOwnRecord(true);
 }
 
 /// Callers come only once settings and members are known; a node that hears
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -77,7 +77,7 @@
   std::vector<const Member *> membersInService() const;
   LeaseRecord describeEjection(const LeaseSubject &subject) const;
   std::size_t refreshRank(const std::string &what) const;
-  void describe(bool isUrgent);
+  void updateOwnRecord(bool isUrgent);
   void reportStandings();
   void scheduleStandingRepeat();
   void startCatchUp();
