--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -90,7 +90,7 @@
   std::unique_ptr<RevokeRelay> Relay;
   std::map<std::string, Instant> Ejected;
   std::unique_ptr<LinkServer> Server;
-  std::unique_ptr<HttpFront> Callers;
+  std::unique_ptr<HttpFront> CallerHttp;
   std::unique_ptr<AdminFront> Admin;
   std::unique_ptr<HttpFront> AdminHttp;
   std::unique_ptr<HttpFront> ReadyHttp;
@@ -119,7 +119,7 @@
           [this] {
             IsReady = true;
             if (!Config.AcceptsBeforeReady)
-              asio::post(Traffic[0]->Io, [this] { Callers->start(); });
+              asio::post(Traffic[0]->Io, [this] { CallerHttp->start(); });
             logEvent(LogLevel::Info, "ready", nlohmann::json::object());
           },
           [this](std::map<std::string, Instant> ends) {
@@ -176,8 +176,8 @@
       [this](const std::shared_ptr<FrameChannel> &from, wire::Frame frame) {
         takeFrame(from, std::move(frame));
       });
-  Callers = std::make_unique<HttpFront>(gateThread, Config.HttpAddress,
-                                        std::move(lanes), faultAnswer);
+  CallerHttp = std::make_unique<HttpFront>(gateThread, Config.HttpAddress,
+                                           std::move(lanes), faultAnswer);
   AdminFront::Events adminEvents;
   adminEvents.OnAnnounce = [this](Announcement facts) {
     return announce(std::move(facts));
@@ -310,7 +310,7 @@
 }
 
 void Node::Impl::applyView(const FleetViewPtr &view) {
-  HttpLimits &limits = Callers->limits();
+  HttpLimits &limits = CallerHttp->limits();
   limits.HeaderBytes = std::uint32_t(view->Root.MaxHeaderBytes);
   limits.BodyBytes = std::uint64_t(view->Root.MaxBodyBytes);
   limits.HeaderTimeoutMs = view->Root.HeaderTimeout.count();
@@ -328,7 +328,7 @@
 absl::Status Node::Impl::start() {
   absl::Status status = Server->start();
   if (status.ok())
-    status = Callers->listen();
+    status = CallerHttp->listen();
   if (status.ok())
     status = AdminHttp->listen();
   if (status.ok() && ReadyHttp)
@@ -340,7 +340,7 @@
   AdminHttp->start();
   startMetrics();
   if (Config.AcceptsBeforeReady)
-    Callers->start();
+    CallerHttp->start();
   if (ReadyHttp)
     ReadyHttp->start();
   Gate->start();
@@ -370,8 +370,8 @@
 }
 
 bool Node::Impl::isQuiet() {
-  bool isGateQuiet =
-      Traffic[0]->call([this] { return Gate->idle() && !Callers->isBusy(); });
+  bool isGateQuiet = Traffic[0]->call(
+      [this] { return Gate->idle() && !CallerHttp->isBusy(); });
   std::size_t inFlight = 0;
   for (std::size_t i = 0; i < Entries.size(); ++i)
     inFlight += Traffic[i]->call([this, i] { return Entries[i]->inFlight(); });
@@ -414,7 +414,7 @@
     return true;
   });
   Traffic[0]->call([this] {
-    Callers->wind();
+    CallerHttp->wind();
     Gate->drainNow();
     return true;
   });
@@ -433,7 +433,7 @@
     bool hasLingered = now() - begin >= Config.Linger;
     if (hasLingered && std::exchange(isAccepting, false))
       Traffic[0]->call([this] {
-        Callers->stop();
+        CallerHttp->stop();
         return true;
       });
     for (std::size_t i = 0; i < Entries.size(); ++i)
