--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -32,7 +32,7 @@
 constexpr Millis HandOnTimeout = std::chrono::seconds(2);
 constexpr Millis StopPoll = std::chrono::milliseconds(20);
 
-HttpAnswer faultAnswer(int status) {
+HttpAnswer rejectedRequestAnswer(int status) {
   ErrorKind kind = status == 431   ? ErrorKind::HeadersTooLarge
                    : status == 413 ? ErrorKind::BodyTooLarge
                    : status == 408 ? ErrorKind::RequestTimeout
@@ -176,8 +176,8 @@
       [this](const std::shared_ptr<FrameChannel> &from, wire::Frame frame) {
         takeFrame(from, std::move(frame));
       });
-  CallerHttp = std::make_unique<HttpFront>(gateThread, Config.HttpAddress,
-                                           std::move(lanes), faultAnswer);
+  CallerHttp = std::make_unique<HttpFront>(
+      gateThread, Config.HttpAddress, std::move(lanes), rejectedRequestAnswer);
   AdminFront::Events adminEvents;
   adminEvents.OnAnnounce = [this](Announcement facts) {
     return announce(std::move(facts));
@@ -199,8 +199,9 @@
          return Admin->serve(std::move(request));
        },
        false}};
-  AdminHttp = std::make_unique<HttpFront>(gateThread, Config.AdminAddress,
-                                          std::move(adminLanes), faultAnswer);
+  AdminHttp =
+      std::make_unique<HttpFront>(gateThread, Config.AdminAddress,
+                                  std::move(adminLanes), rejectedRequestAnswer);
   if (!Config.MetricsAddress.empty())
     MetricsHttp = std::make_unique<HttpFront>(
         gateThread, Config.MetricsAddress,
@@ -210,7 +211,7 @@
                return Admin->serveMetrics(std::move(request));
              },
              false}},
-        faultAnswer);
+        rejectedRequestAnswer);
   if (Config.ReadyAddress.empty())
     return;
   std::vector<HttpFront::Lane> readyLanes{
@@ -218,8 +219,9 @@
        [this](HttpRequest, std::shared_ptr<CallScope>)
            -> asio::awaitable<HttpAnswer> { co_return readiness(); },
        false}};
-  ReadyHttp = std::make_unique<HttpFront>(gateThread, Config.ReadyAddress,
-                                          std::move(readyLanes), faultAnswer);
+  ReadyHttp =
+      std::make_unique<HttpFront>(gateThread, Config.ReadyAddress,
+                                  std::move(readyLanes), rejectedRequestAnswer);
 }
 
 HttpAnswer Node::Impl::readiness() const {
