--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -201,12 +201,12 @@
 
 asio::awaitable<HttpAnswer> AdminFront::announce(const HttpRequest &request) {
   std::string reason;
-  std::optional<Announcement> facts =
+  std::optional<Announcement> announcement =
       parseAnnouncement(*request.Content, reason);
-  if (!facts)
+  if (!announcement)
     co_return errorAnswer(400, reason);
   std::optional<std::int64_t> generation =
-      co_await Handlers.OnAnnounce(std::move(*facts));
+      co_await Handlers.OnAnnounce(std::move(*announcement));
   co_return announcedAnswer(generation);
 }
 
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -71,7 +71,8 @@
   asio::awaitable<bool> depart(std::string endpoint);
   void connectLocal(Entry &entry, Loop &loop);
   void takeFrame(const std::shared_ptr<FrameChannel> &from, wire::Frame frame);
-  asio::awaitable<std::optional<std::int64_t>> announce(Announcement facts);
+  asio::awaitable<std::optional<std::int64_t>>
+  announce(Announcement announcement);
   void vouch(const std::shared_ptr<FrameChannel> &from,
              const wire::Frame &frame);
   void applyEjections(std::map<std::string, Instant> ends);
@@ -179,8 +180,8 @@
   CallerHttp = std::make_unique<HttpFront>(
       gateThread, Config.HttpAddress, std::move(lanes), rejectedRequestAnswer);
   AdminFront::Events adminEvents;
-  adminEvents.OnAnnounce = [this](Announcement facts) {
-    return announce(std::move(facts));
+  adminEvents.OnAnnounce = [this](Announcement announcement) {
+    return announce(std::move(announcement));
   };
   adminEvents.OnWithdraw = [this](std::string name) {
     Gate->withdrawEndpoint(name);
@@ -305,10 +306,10 @@
 }
 
 asio::awaitable<std::optional<std::int64_t>>
-Node::Impl::announce(Announcement facts) {
-  if (IsLeaving && !facts.IsDraining)
+Node::Impl::announce(Announcement announcement) {
+  if (IsLeaving && !announcement.IsDraining)
     co_return std::nullopt;
-  co_return Gate->announceEndpoint(facts);
+  co_return Gate->announceEndpoint(announcement);
 }
 
 void Node::Impl::applyView(const FleetViewPtr &view) {
