--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -107,7 +107,7 @@
     Traffic.push_back(std::make_unique<Loop>());
   if (!Config.Platform.empty()) {
     Platform = Registry<PlatformAdapter>::instance().find(Config.Platform);
-    Config = Platform->FitSettings(std::move(Config));
+    Config = Platform->AdaptSettings(std::move(Config));
     Dialect = Platform->Dialect();
   }
   asio::io_context &control = ControlLoop.Io;
@@ -399,7 +399,7 @@
 
 // Called on the thread that also stops the node.
 bool Node::Impl::reload(const NodeSettings &read) {
-  NodeSettings settings = Platform ? Platform->FitSettings(read) : read;
+  NodeSettings settings = Platform ? Platform->AdaptSettings(read) : read;
   Config.DrainLimit = settings.DrainLimit;
   Config.Linger = settings.Linger;
   if (settings.LogLevel != Config.LogLevel)
--- a/src/libfleet/node/platformadapter.h
+++ b/src/libfleet/node/platformadapter.h
@@ -31,7 +31,7 @@
 /// the name that node settings use.
 struct PlatformAdapter {
   /// Fits a node's settings to what the platform demands.
-  NodeSettings (*FitSettings)(NodeSettings settings);
+  NodeSettings (*AdaptSettings)(NodeSettings settings);
   HttpDialect (*Dialect)();
   EndpointMessage (*ParseEndpointMessage)(const HttpRequest &request);
   std::unique_ptr<SettingsSource> (*MakeSettingsSource)(
