--- a/src/libfleet/node/nodesettings.cpp
+++ b/src/libfleet/node/nodesettings.cpp
@@ -31,7 +31,7 @@
       : Object(object), Path(std::move(path)), Faults(faults) {}
 
   void readString(const char *key, std::string &out, bool isRequired) {
-    const json *value = take(key, isRequired);
+    const json *value = findKey(key, isRequired);
     if (!value)
       return;
     if (!value->is_string() || value->get<std::string>().empty())
@@ -47,7 +47,7 @@
   }
 
   void readInteger(const char *key, int &out, int lowest, int highest) {
-    const json *value = take(key, false);
+    const json *value = findKey(key, false);
     if (!value)
       return;
     if (!value->is_number_integer() || value->get<std::int64_t>() < lowest ||
@@ -59,7 +59,7 @@
   }
 
   void readBoolean(const char *key, bool &out) {
-    const json *value = take(key, false);
+    const json *value = findKey(key, false);
     if (!value)
       return;
     if (!value->is_boolean())
@@ -68,7 +68,7 @@
   }
 
   void readAddresses(const char *key, std::vector<std::string> &out) {
-    const json *value = take(key, false);
+    const json *value = findKey(key, false);
     if (!value)
       return;
     if (!value->is_array())
@@ -82,7 +82,7 @@
   }
 
   void readNumbers(const char *key, std::map<std::string, double> &out) {
-    const json *value = take(key, false);
+    const json *value = findKey(key, false);
     if (!value)
       return;
     bool isTable =
@@ -95,7 +95,7 @@
       out[name] = it.is_boolean() ? it.get<bool>() : it.get<double>();
   }
 
-  const json *take(const char *key, bool isRequired) {
+  const json *findKey(const char *key, bool isRequired) {
     Known.emplace_back(key);
     auto it = Object.find(key);
     if (it != Object.end())
@@ -151,7 +151,7 @@
   reader.readString("adapter", settings.Platform, true);
   reader.readAddress("address", settings.PlatformAddress, true);
   reader.readNumbers("bounds", settings.PlatformBounds);
-  if (const json *defaults = reader.take("root_defaults", false)) {
+  if (const json *defaults = reader.findKey("root_defaults", false)) {
     for (const SettingsFault &it : checkSettingsValue("/", *defaults))
       reader.fault("root_defaults", it.Where + " " + it.Reason);
     settings.RootDefaults = *defaults;
@@ -188,9 +188,9 @@
   reader.readString("log_level", settings.LogLevel, false);
   if (std::ranges::find(LogLevels, settings.LogLevel) == LogLevels.end())
     reader.fault("log_level", "must be debug, info, warn or error");
-  const json *listen = reader.take("listen", true);
-  const json *platform = reader.take("platform", false);
-  const json *log = reader.take("log", platform == nullptr);
+  const json *listen = reader.findKey("listen", true);
+  const json *platform = reader.findKey("platform", false);
+  const json *log = reader.findKey("log", platform == nullptr);
   reader.reportUnknown();
   if (listen && listen->is_object())
     readListen(*listen, settings, faults);
