--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -18,7 +18,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::chrono::milliseconds AskLimit{3'000};
-constexpr std::chrono::milliseconds PublishTimeout{12'000};
+constexpr std::chrono::milliseconds PublishLimit{12'000};
 constexpr std::chrono::milliseconds PollPeriod{100};
 constexpr std::chrono::milliseconds WatchPeriod{500};
 
@@ -213,8 +213,8 @@
                  {"base", base},
                  {"value", *value},
                  {"author", user ? user : ""}};
-  auto reply = askNode(options.Node, "POST", "/v1/changes", change.dump(),
-                       PublishTimeout);
+  auto reply =
+      askNode(options.Node, "POST", "/v1/changes", change.dump(), PublishLimit);
   if (!reply.ok())
     return complain(reply.status());
   return reportVerdict(options, *reply);
