--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -16,11 +16,12 @@
 constexpr Millis VerdictPoll = std::chrono::milliseconds(10);
 constexpr Millis RefreshPeriod = std::chrono::milliseconds(500);
 
-/// Each place in the refresh order waits this much longer before it writes.
+/// Delay per rank before a node rewrites a record, so that normally only the
+/// first node in rank does.
 constexpr Millis RefreshRankDelay = std::chrono::milliseconds(500);
 
-/// Records in the oldest quarter of what the log keeps are written anew, and
-/// those that have stood for half the time that it keeps them.
+/// A record is rewritten once it is in the oldest quarter of the offsets that
+/// the log retains, or older than half the retention time.
 constexpr std::int64_t RefreshOffsetDivisor = 4;
 constexpr std::int64_t RefreshAgeDivisor = 2;
 
@@ -53,7 +54,7 @@
     SourceAnsweredAt = now();
 }
 
-/// Notes when the version in force changed.
+/// Records when the version in force changed and calls OnChange.
 void SettingsService::reportChange() {
   if (ReportedNext != Folded.Next) {
     ReportedNext = Folded.Next;
@@ -146,7 +147,8 @@
   reportChange();
 }
 
-/// Records have expired before this node read them: peers may know them.
+/// Records expired before this node read them. Fetches the settings from a peer
+/// and skips the expired offsets only if no peer has them.
 asio::awaitable<void>
 SettingsService::handleExpiredRecords(std::int64_t first) {
   FirstKept = first;
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -14,17 +14,18 @@
 
 class Metrics;
 
-/// Follows the settings stream on the control thread, appends changes, and
-/// writes values anew before the log forgets them.
+/// Keeps this node's copy of the fleet settings up to date, on the control
+/// thread. Reads them from the log's settings stream, appends changes to it and
+/// rewrites values before their records expire; or polls a document source.
 class SettingsService {
 public:
   struct Events {
     std::function<void()> OnChange;
-    /// Asks some peer for its state.
+    /// Merges the settings of a peer; returns false if no peer answered.
     std::function<asio::awaitable<bool>()> FetchSnapshot;
-    /// This node's place among all in writing a given record anew.
+    /// Rank of this node among all members for rewriting a given record.
     std::function<std::size_t(const std::string &what)> RefreshRank;
-    /// Waits while others read the source of documents for this node.
+    /// Waits while other nodes poll the document source on behalf of this one.
     std::function<asio::awaitable<void>()> AwaitPollDue;
   };
 
@@ -32,29 +33,30 @@
                   std::string stream, Millis retention, Metrics &metrics,
                   Events events);
 
-  /// Takes whole documents from a source in place of changes from the log.
+  /// Reads whole documents from a source instead of changes from the log.
   void useDocumentSource(std::unique_ptr<SettingsSource> source);
 
   void start();
   const SettingsState &state() const { return Folded; }
 
-  /// True once a state has come from the log or from a peer.
+  /// True once settings have been received from the log, the document source or
+  /// a peer.
   bool isLoaded() const { return Loaded; }
   bool isLogReachable() const { return IsReachable; }
 
-  /// When the source of settings last answered.
+  /// When the log or the document source last answered.
   Instant sourceAnsweredAt() const { return SourceAnsweredAt; }
-  /// When the version in force was taken.
+  /// When the current version came into force on this node.
   Instant inForceSince() const { return InForceSince; }
 
-  /// The latest refused document, until a later one is taken.
+  /// The latest refused document; reset when a later one is accepted.
   const std::optional<RefusedDocument> &refused() const { return Refused; }
 
-  /// Takes over what a peer knows.
+  /// Takes over those settings of a peer that are newer than this node's.
   void merge(const SettingsState &peer);
 
-  /// Appends a change and waits for its verdict; gives nothing if the log
-  /// cannot be reached in time.
+  /// Appends a change and waits for its verdict; returns nothing if there is
+  /// none within the limit.
   asio::awaitable<std::optional<ChangeVerdict>> publish(SettingsChange change,
                                                         Millis limit);
 
--- a/src/libfleet/settings/settingssource.h
+++ b/src/libfleet/settings/settingssource.h
@@ -8,15 +8,15 @@
 
 namespace hickoryglade::fleet {
 
-/// What a source of settings has to say.
+/// Result of one poll of a settings source.
 struct SettingsUpdate {
-  /// False if the source could not be asked.
+  /// False if the source could not be reached.
   bool IsReachable = false;
-  /// The newest document, if there is one that has not been given before.
+  /// The newest document, if no earlier poll has returned it.
   std::optional<SettingsDocument> Document;
-  /// Reasons for which the newest document was refused.
+  /// Reasons why the newest document was refused.
   std::vector<SettingsFault> Faults;
-  /// Version that the refused document names; 0 if it cannot be read.
+  /// Version stated in the refused document; 0 if it cannot be read.
   std::int64_t RefusedVersion = 0;
 };
 
@@ -27,12 +27,14 @@
   Instant At;
 };
 
-/// Gives whole settings documents as operators publish them.
+/// Source of the settings documents that operators publish. A document holds
+/// the whole settings tree.
 class SettingsSource {
 public:
   virtual ~SettingsSource() = default;
 
-  /// Waits for news, for a time of the source's own choice.
+  /// Waits for an update. The source decides how long it waits before it
+  /// returns without one.
   virtual asio::awaitable<SettingsUpdate> next() = 0;
 };
 
