--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 
-/// A grant counts only if it arrives this soon after it was asked for: a
-/// keeper that was paused in between may have lost its lease meanwhile.
+/// A grant is valid only if it arrives within this time of the request. A
+/// keeper process that was paused in between may have lost its lease meanwhile.
 constexpr Micros MaxGrantAge = std::chrono::seconds(3);
 
 constexpr Micros KeeperCallTimeout = std::chrono::milliseconds(1'500);
 constexpr Micros RecordTimeout = std::chrono::seconds(1);
 constexpr Micros KeyPollInterval = std::chrono::milliseconds(30);
 
-/// A request without a grant is given up after this time.
+/// Time that a request waits for a grant before it fails with
+/// KeeperUnavailable.
 constexpr Micros GrantTimeout = std::chrono::seconds(3);
 
 constexpr Millis RetryAfterKeyError = std::chrono::seconds(2);
 
-/// Verdicts that the keeper may change on its own before long.
+/// True for verdicts that may soon change without action by the caller.
 bool isTransient(KeyVerdict verdict) {
   return verdict == KeyVerdict::NotKeeper || verdict == KeyVerdict::NoCopy;
 }
--- a/src/libfleet/keys/keyedcall.h
+++ b/src/libfleet/keys/keyedcall.h
@@ -7,8 +7,9 @@
 
 namespace hickoryglade::fleet {
 
-/// Runs a request that carries an idempotency key: asks the key's keeper
-/// first, and gives the first run's answer to resent copies.
+/// Runs a request that carries an idempotency key. Reserves the key at its
+/// keeper first; a retry of a request that has already run gets the stored
+/// answer.
 class KeyedCall {
 public:
   using Run = std::function<asio::awaitable<EntryResult>(Inquiry &)>;
@@ -19,7 +20,8 @@
   asio::awaitable<EntryResult> perform(Inquiry &inquiry, Run run);
 
 private:
-  /// What the keeper said; nothing if it could not be asked.
+  /// Sends a request to the key's keeper. Returns nothing if the keeper is not
+  /// known or does not reply in time.
   asio::awaitable<std::optional<wire::KeyReply>>
   callKeeper(const Inquiry &inquiry, wire::KeyRequest request, Instant until);
   asio::awaitable<EntryResult> runAndRecord(Inquiry &inquiry, Run run);
@@ -30,7 +32,8 @@
 
   asio::any_io_executor Executor;
   PeerLinks &Links;
-  /// The entry's present view, which may change while a call waits.
+  /// Reference to the entry's current view, which may be replaced while a call
+  /// waits.
   const FleetViewPtr &View;
 };
 
--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -157,8 +157,9 @@
   co_return verdictReply(verdict);
 }
 
-/// A key that this node does not know is new only if the next keeper takes
-/// the copy without knowing it either, and so say all who might.
+/// A key unknown to this node is new only if the next keeper in rank stores the
+/// copy without knowing the key, and no other process that may hold a record of
+/// it knows the key.
 asio::awaitable<KeyVerdict>
 KeyService::confirmNew(wire::KeyRequest request,
                        std::vector<LeaseHolder> ranked) {
@@ -194,8 +195,8 @@
   }
 }
 
-/// A keeper's second copy. One who is behind in the ledger might still take
-/// itself for the keeper, so it must not confirm.
+/// Stores a keeper's second copy. A node that has read less of the ledger than
+/// the sender might still consider itself the keeper, so it must not confirm.
 wire::KeyReply KeyService::copy(const wire::KeyRequest &request) {
   if (View->KeepersOffset < request.rosterOffset)
     return verdictReply(KeyVerdict::NotKeeper);
@@ -229,7 +230,7 @@
   co_return verdictReply(KeyVerdict::Granted);
 }
 
-/// Only for requests that are known not to have run.
+/// Frees the key of a request that is known not to have run.
 asio::awaitable<void> KeyService::release(wire::KeyRequest request) {
   Table.release(request.record.key, request.record.requestId);
   std::vector<LeaseHolder> ranked =
--- a/src/libfleet/keys/keyservice.h
+++ b/src/libfleet/keys/keyservice.h
@@ -13,8 +13,9 @@
 
 namespace hickoryglade::fleet {
 
-/// Keeps idempotency keys for the fleet: answers entries that ask for a key,
-/// and the keepers whose copies lie here. Lives on the gate's thread.
+/// This node's share of the fleet's idempotency key records. Serves requests of
+/// entries for the keys that it keeps, and of other keepers for the copies that
+/// it holds for them. Runs on the gate's thread.
 class KeyService {
 public:
   KeyService(asio::any_io_executor ex, LeaseHolder self, PeerLinks &links);
@@ -24,8 +25,8 @@
                  const wire::Frame &frame);
   void applyView(const FleetViewPtr &view);
 
-  /// Stops granting keys and gives all records to their next keepers.
-  /// Returns false if some could not be handed on in time.
+  /// Stops granting keys and copies all records to their next keepers. Returns
+  /// false if some could not be copied within the limit.
   asio::awaitable<bool> handOn(Millis limit);
 
 private:
