--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -114,13 +114,13 @@
 asio::awaitable<EntryResult> KeyedCall::perform(Inquiry &inquiry, Run run) {
   Instant grantDeadline = std::min(now() + GrantTimeout, inquiry.Deadline);
   while (!inquiry.Scope->IsCancelled) {
-    Instant asked = now();
+    Instant requestedAt = now();
     wire::KeyRequest request =
         makeRequest(inquiry, wire::KeyOperation::RESERVE);
     std::optional<wire::KeyReply> reply =
         co_await callKeeper(inquiry, request, inquiry.Deadline);
     KeyVerdict verdict = reply ? verdictOf(*reply) : KeyVerdict::NotKeeper;
-    bool isTimely = now() - asked < MaxGrantAge;
+    bool isTimely = now() - requestedAt < MaxGrantAge;
     if (verdict == KeyVerdict::Granted && isTimely)
       co_return co_await runAndRecord(inquiry, std::move(run));
     if (verdict == KeyVerdict::Done)
--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -180,11 +180,11 @@
   std::string successor = keeperSuccessor(Agent.Ledger, Agent.Self.Node);
   if (!isKeeper || isFresh || isVouched || successor.empty())
     co_return;
-  Instant asked = now();
+  Instant requestedAt = now();
   bool isPromised = co_await Handlers.RequestVoucher(successor);
   if (!isPromised)
     co_return;
-  noteVoucher(Agent, asked);
+  noteVoucher(Agent, requestedAt);
   Handlers.OnChange();
 }
 
