--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -163,15 +163,15 @@
 asio::awaitable<KeyVerdict>
 KeyService::confirmNew(wire::KeyRequest request,
                        std::vector<LeaseHolder> ranked) {
-  std::vector<LeaseHolder> asked{Self};
-  std::vector<LeaseHolder> toAsk;
+  std::vector<LeaseHolder> queried{Self};
+  std::vector<LeaseHolder> toQuery;
   if (ranked.size() >= KeyCopies)
-    toAsk.push_back(ranked[1]);
+    toQuery.push_back(ranked[1]);
   request.rosterOffset = View->KeepersOffset;
   request.operation = wire::KeyOperation::COPY;
   Millis lifetime(request.record.lifetimeMs);
   while (true) {
-    for (const LeaseHolder &holder : toAsk) {
+    for (const LeaseHolder &holder : toQuery) {
       std::optional<wire::KeyReply> reply =
           co_await callKeeper(holder, request);
       if (!reply)
@@ -183,14 +183,15 @@
         Table.put(request.record.key, toEntry(reply->record));
         co_return KeyVerdict::Running;
       }
-      asked.push_back(holder);
+      queried.push_back(holder);
     }
-    auto more = Placement.witnesses(request.record.key, asked, lifetime, now());
+    auto more =
+        Placement.witnesses(request.record.key, queried, lifetime, now());
     if (!more)
       co_return KeyVerdict::Unvouched;
     if (more->empty())
       co_return KeyVerdict::Granted;
-    toAsk = std::move(*more);
+    toQuery = std::move(*more);
     request.operation = wire::KeyOperation::LOOKUP;
   }
 }
