--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -185,8 +185,9 @@
 }
 
 asio::awaitable<HttpAnswer> AdminFront::serveMetrics(HttpRequest request) {
-  bool isAsked = request.Target == "/metrics" && request.Method == "GET";
-  if (!isAsked)
+  bool isMetricsRequest =
+      request.Target == "/metrics" && request.Method == "GET";
+  if (!isMetricsRequest)
     co_return errorAnswer(404, "no such resource");
   co_return co_await asio::co_spawn(
       Io, serveOperator(std::move(request), json::array()),
