--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -77,7 +77,7 @@
              const wire::Frame &frame);
   void applyEjections(std::map<std::string, Instant> ends);
   void handOnKeys();
-  bool isQuiet();
+  bool isIdle();
 
   NodeSettings Config;
   std::int64_t BootId = wallMicros();
@@ -372,13 +372,13 @@
              {{"reason", std::string(status.message())}});
 }
 
-bool Node::Impl::isQuiet() {
-  bool isGateQuiet = Traffic[0]->call(
+bool Node::Impl::isIdle() {
+  bool isGateIdle = Traffic[0]->call(
       [this] { return Gate->idle() && !CallerHttp->isBusy(); });
   std::size_t inFlight = 0;
   for (std::size_t i = 0; i < Entries.size(); ++i)
     inFlight += Traffic[i]->call([this, i] { return Entries[i]->inFlight(); });
-  return isGateQuiet && inFlight == 0;
+  return isGateIdle && inFlight == 0;
 }
 
 /// Gives the kept keys to their successors, then the keeper lease back.
@@ -441,7 +441,7 @@
       });
     for (std::size_t i = 0; i < Entries.size(); ++i)
       asio::post(Traffic[i]->Io, [this, i, end] { Entries[i]->settle(end); });
-    isClean = hasLingered && isQuiet();
+    isClean = hasLingered && isIdle();
   }
   for (auto &loop : Traffic)
     loop->stop();
