--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -165,8 +165,8 @@
     co_await pause(MaintenancePeriod);
     std::vector<LeaseRecord> due = dueRecords();
     for (LeaseRecord &record : due) {
-      bool isTaken = co_await append(std::move(record));
-      if (!isTaken)
+      bool isAppended = co_await append(std::move(record));
+      if (!isAppended)
         break;
     }
     co_await renewVoucher();
