--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -17,15 +17,17 @@
 constexpr Millis MaxBackoff = std::chrono::seconds(2);
 constexpr Millis MaintenancePeriod = std::chrono::milliseconds(200);
 
-/// Between tries to acquire the same lease.
+/// Time between attempts to acquire the same lease.
 constexpr Micros AcquirePeriod = std::chrono::seconds(2);
 
-/// With reads failing for this long, vouchers are sought instead.
+/// A keeper requests vouchers once its last successful read and its last
+/// voucher are both older than this.
 constexpr Micros VoucherAfter = std::chrono::seconds(3);
 
 constexpr std::size_t MaxHandedOn = 256;
 
-/// The ledger decides; this spares the log the requests that it would deny.
+/// True if an ejection leaves the service its floor. The ledger makes the
+/// decision; this check avoids appending records that it would deny.
 bool meetsFloor(const LeaseRecord &record) {
   return int(record.Healthy.size()) >= std::max(record.Floor, 1);
 }
@@ -137,8 +139,8 @@
   return due;
 }
 
-/// Ejections that are no longer wanted, and those that a service cannot
-/// afford since others of its endpoints have failed.
+/// Own ejection leases that are no longer wanted, or that leave a service below
+/// its floor because other endpoints of it have failed.
 std::vector<LeaseSubject> LeaseService::ejectionsToRelease() {
   std::vector<LeaseSubject> needless;
   for (const auto &[subject, lease] : Agent.Ledger.Leases) {
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -14,17 +14,20 @@
 
 class Metrics;
 
-/// Takes part in the lease ledger on the control thread: follows the stream,
-/// holds this node's leases, challenges those of the dead.
+/// This node's part in the lease ledger, on the control thread. Reads the
+/// ledger's stream, acquires and renews this node's leases, and challenges the
+/// leases of dead nodes.
 class LeaseService {
 public:
   struct Events {
-    /// The ledger, or the time until which own leases hold, has changed.
+    /// Called when the ledger or the end of an own lease has changed.
     std::function<void()> OnChange;
     std::function<std::vector<LedgerMember>()> Members;
-    /// Healthy endpoints of a service besides the given one, and its floor.
+    /// Fills in the floor of a service and its healthy endpoints other than the
+    /// given one.
     std::function<LeaseRecord(const LeaseSubject &)> DescribeEjection;
-    /// Asks the successor for a promise.
+    /// Requests a voucher from this keeper's successor: its promise not to
+    /// challenge the lease for a while.
     std::function<asio::awaitable<bool>(std::string node)> RequestVoucher;
   };
 
@@ -35,7 +38,7 @@
 
   const LeaseAgent &agent() const { return Agent; }
 
-  /// Asks for an ejection lease, or gives it back.
+  /// Starts to acquire an ejection lease, or releases it.
   void updateEjectionLease(const LeaseSubject &subject, bool isWanted);
 
   /// Ends of the ejection leases held, by endpoint.
@@ -43,14 +46,15 @@
 
   std::optional<Instant> keeperLeaseEnd() const;
 
-  /// Keepers that have left in order.
+  /// Keepers that released their lease when they left.
   const std::vector<LeaseHolder> &handedOn() const { return HandedOn; }
 
-  /// Answers a keeper that asks this node for a promise.
+  /// Handles a keeper's request for a voucher. Returns whether this node gives
+  /// it.
   bool vouch(const LeaseHolder &keeper);
 
-  /// Gives the keeper lease back; ends once the log has taken that, or the
-  /// limit has passed.
+  /// Releases the keeper lease. Returns true once the log has the record, false
+  /// if it does not within the limit.
   asio::awaitable<bool> resign(Millis limit);
 
 private:
--- a/src/libfleet/log/logclient.h
+++ b/src/libfleet/log/logclient.h
@@ -18,14 +18,14 @@
 
 enum class LogStatus {
   Done,
-  /// The log did not answer, or not in the agreed form; an append may have
-  /// taken effect all the same.
+  /// The log sent no reply or a malformed one. An append may still have taken
+  /// effect.
   Unreachable,
-  /// Asked to come back later.
+  /// The log limits the rate of calls; retry after RetryAfter.
   Overloaded,
-  /// The records asked for are no longer kept.
+  /// The requested records have expired.
   Expired,
-  /// The log refused the call.
+  /// The log rejected the call.
   Refused,
 };
 
@@ -43,7 +43,8 @@
   Millis RetryAfter{0};
 };
 
-/// Speaks the log service's HTTP interface, one call at a time per instance.
+/// Client of the log service's HTTP interface. Each instance makes one call at
+/// a time.
 class LogClient {
 public:
   LogClient(asio::any_io_executor ex, std::string address, std::string stream);
@@ -53,7 +54,8 @@
 
   asio::awaitable<AppendResult> append(std::string data);
 
-  /// Waits up to a given time for records at or after an offset.
+  /// Reads the records at or after an offset; waits up to the given time for
+  /// the first one.
   asio::awaitable<ReadResult> read(std::int64_t from, Millis wait);
 
 private:
