--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -17,7 +17,7 @@
 constexpr Millis MaxBackoff = std::chrono::seconds(2);
 constexpr Millis MaintenancePeriod = std::chrono::milliseconds(200);
 
-/// Time between attempts to acquire the same lease.
+/// Interval at which an unanswered request for a lease is repeated.
 constexpr Micros AcquirePeriod = std::chrono::seconds(2);
 
 /// A keeper requests vouchers once its last successful read and its last
@@ -26,8 +26,8 @@
 
 constexpr std::size_t MaxHandedOn = 256;
 
-/// True if an ejection leaves the service its floor. The ledger makes the
-/// decision; this check avoids appending records that it would deny.
+/// True if an ejection keeps the service at or above its floor. The ledger
+/// makes the decision; this check avoids appending records that it would deny.
 bool meetsFloor(const LeaseRecord &record) {
   return int(record.Healthy.size()) >= std::max(record.Floor, 1);
 }
