--- a/src/libfleet/node/nodesettings.cpp
+++ b/src/libfleet/node/nodesettings.cpp
@@ -23,7 +23,7 @@
 constexpr std::array<std::string_view, 4> LogLevels = {"debug", "info", "warn",
                                                        "error"};
 
-/// Reads the keys of one object and notes what is wrong with them.
+/// Reads the keys of one JSON object and reports their faults.
 class ObjectReader {
 public:
   ObjectReader(const json &object, std::string path,
@@ -35,7 +35,7 @@
     if (!value)
       return;
     if (!value->is_string() || value->get<std::string>().empty())
-      return fault(key, "must be a text, not " + value->dump());
+      return fault(key, "must be a non-empty string, not " + value->dump());
     out = value->get<std::string>();
   }
 
@@ -158,7 +158,7 @@
   }
   if (!settings.Platform.empty() &&
       !Registry<PlatformAdapter>::instance().find(settings.Platform))
-    reader.fault("adapter", "no adapter is called " + settings.Platform);
+    reader.fault("adapter", "unknown adapter " + settings.Platform);
   reader.reportUnknown();
 }
 
@@ -197,7 +197,7 @@
   else if (listen)
     reader.fault("listen", "must be an object");
   if (platform && log)
-    reader.fault("platform", "stands beside log; only one of them may");
+    reader.fault("platform", "cannot be combined with log");
   if (platform && platform->is_object())
     readPlatform(*platform, settings, faults);
   else if (platform)
--- a/src/libfleet/node/nodesettings.h
+++ b/src/libfleet/node/nodesettings.h
@@ -10,64 +10,68 @@
 
 namespace hickoryglade::fleet {
 
-/// Settings of one process, from its file.
+/// Settings of one process, read from its configuration file.
 struct NodeSettings {
   std::string Node;
   std::string DataCentre;
-  /// Where callers connect.
+  /// Listening address for callers.
   std::string HttpAddress;
-  /// Where other nodes connect, over TCP and UDP.
+  /// Listening address for other nodes, over TCP and UDP.
   std::string FleetAddress;
-  /// Where other nodes reach this one; the fleet address unless set.
+  /// Address at which other nodes reach this one; the fleet address unless set.
   std::string AdvertisedAddress;
-  /// Where endpoints announce themselves and operators ask.
+  /// Listening address for announcements of endpoints and for operators.
   std::string AdminAddress;
-  /// Where the platform asks whether the node takes callers; none if empty.
+  /// Listening address for the platform's readiness probe; none if empty.
   std::string ReadyAddress;
-  /// Where metrics are read, besides the admin address; none if empty.
+  /// Listening address that serves only metrics, which the admin address serves
+  /// as well; none if empty.
   std::string MetricsAddress;
-  /// Service whose endpoints run on this VM; endpoints are told it as the
-  /// origin of requests.
+  /// Service whose endpoints run on this VM. Requests from this VM name it to
+  /// endpoints as the calling service.
   std::string Service;
-  /// Adapter to the platform and the address of its store; with an adapter
-  /// there is no log.
+  /// Name of the platform's adapter, and address of the platform's store. A
+  /// node with an adapter uses no log.
   std::string Platform;
   std::string PlatformAddress;
-  /// What the platform demands, under its own names.
+  /// Limits set by the platform, under the platform's names.
   std::map<std::string, double> PlatformBounds;
-  /// Values for the root of the tree of settings where a platform's documents
-  /// leave them open.
+  /// Default values for the root of the settings tree, for keys that a
+  /// platform's documents don't set.
   nlohmann::json RootDefaults = nlohmann::json::object();
   std::string LogAddress;
-  /// Prefix of the names of this fleet's streams.
+  /// Prefix of the names of this fleet's log streams.
   std::string StreamPrefix = "hickoryglade";
-  /// How long the log keeps records.
+  /// Retention time of the log's records.
   Millis LogRetention = std::chrono::hours(24);
   std::vector<std::string> Seeds;
   int TrafficThreads = 1;
   std::string LogLevel = "info";
-  /// Longest time that a stop waits for requests in flight.
+  /// Maximum time that a stop waits for requests in flight.
   Millis DrainLimit{30'000};
-  /// Whether callers are answered, with a refusal, before the node knows
-  /// settings and members; otherwise their connections are refused.
+  /// True if the node accepts connections of callers, and answers with an
+  /// error, before it knows settings and members. Otherwise connections are
+  /// refused.
   bool AcceptsBeforeReady = false;
-  /// How long a node that stops still takes callers, who hear of it late.
+  /// Time for which a stopping node still accepts requests, since callers learn
+  /// late that it is leaving.
   Millis Linger{1'000};
-  /// Silence after which an endpoint is taken for gone: new work stops within
-  /// 2 s of its leaving if it announces itself every second.
+  /// Time without an announcement after which an endpoint counts as gone. An
+  /// endpoint that announces itself every second thus gets no new requests
+  /// within 2 s of its leaving.
   Millis AnnouncementLimit{1'900};
 
-  /// Nodes of each data centre that read the platform's settings documents for
-  /// the others; 0 if each node reads for itself.
+  /// Number of nodes in each data centre that poll the platform's settings
+  /// documents for the others; 0 if every node polls them.
   int SettingsReaders = 0;
-  /// Whether passing standings of endpoints are told to the own data centre
-  /// only; other nodes learn them from replies.
+  /// True if short-lived standings of endpoints (suspect, on trial) are sent to
+  /// the own data centre only. Other nodes learn them from replies.
   bool KeepsStandingsNear = false;
 
   bool operator==(const NodeSettings &) const = default;
 };
 
-/// The settings as a file would name them, those left out included.
+/// The settings in the form of the configuration file, defaults included.
 nlohmann::json toJson(const NodeSettings &settings);
 
 struct NodeSettingsResult {
@@ -75,7 +79,7 @@
   std::vector<SettingsFault> Faults;
 };
 
-/// Checks the whole text (JSON with comments) and reports every fault.
+/// Parses and checks the whole text (JSON with comments); reports every fault.
 NodeSettingsResult parseNodeSettings(const std::string &text);
 
 } // namespace hickoryglade::fleet
