--- a/src/libfleet/node/fleetview.h
+++ b/src/libfleet/node/fleetview.h
@@ -13,7 +13,7 @@
 
 namespace hickoryglade::fleet {
 
-/// One node that gates endpoints of a service.
+/// A node whose gate serves endpoints of a service.
 struct GateView {
   std::string Node;
   std::int64_t BootId = 0;
@@ -24,11 +24,11 @@
   bool operator==(const GateView &) const = default;
 };
 
-/// Where to connect to a node.
+/// Address and process of a node.
 struct NodeView {
   std::string FleetAddress;
   std::int64_t BootId = 0;
-  /// Offset up to which the node says that it has read the ledger.
+  /// Offset up to which the node reports having read the ledger.
   std::int64_t LedgerNext = 0;
 
   bool operator==(const NodeView &) const = default;
@@ -40,27 +40,27 @@
   std::map<std::string, int> Shares;
 };
 
-/// What the control thread gives to the traffic threads. Never changed after
-/// it has been handed over.
+/// State of the fleet as the control thread publishes it to the traffic
+/// threads. Immutable once published.
 struct FleetView {
   bool HasSettings = false;
-  /// Version up to which the settings have been taken.
+  /// Version up to which the settings are applied.
   std::int64_t SettingsNext = 0;
-  /// Policy at the root of the tree, with the largest body that any service
-  /// takes.
+  /// Policy at the root of the settings tree, but with the largest body limit
+  /// of any service.
   ServicePolicy Root;
   std::shared_ptr<const RouteTable> Routes =
       std::make_shared<const RouteTable>();
   std::map<std::string, ServiceView> Services;
   std::map<std::string, NodeView> Nodes;
   Quarantine Crashes;
-  /// Processes that keep idempotency keys, and the ledger offset as of which
-  /// they do.
+  /// Processes that keep idempotency keys, and the ledger offset up to which
+  /// this roster is current.
   std::vector<LeaseHolder> Keepers;
   std::int64_t KeepersOffset = 0;
-  /// Keepers that have left after handing on their records.
+  /// Keepers that copied their records to their successors before they left.
   std::vector<LeaseHolder> HandedOn;
-  /// End of this node's own keeper lease, by its clock.
+  /// End of this node's own keeper lease by its clock; empty if it holds none.
   std::optional<Instant> KeeperLeaseEnd;
 };
 
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -50,7 +50,7 @@
   return answer;
 }
 
-/// Waits on the calling thread, which runs no executor.
+/// Blocks the calling thread, which runs no executor.
 void pauseFor(Millis time) {
   asio::io_context io;
   asio::steady_timer timer(io, time);
@@ -233,14 +233,15 @@
   return answer;
 }
 
-/// Returns once no more requests go to an endpoint that has left. Called on the
-/// gate's thread, as announce() is.
+/// Returns once no more requests are sent to an endpoint that has left. Called
+/// on the gate's thread, like announce().
 asio::awaitable<bool> Node::Impl::depart(std::string endpoint) {
   Gate->withdrawEndpoint(endpoint);
   co_return true;
 }
 
-/// An entry reaches the gate of its own node by a direct call.
+/// Connects an entry to the gate of its own node by in-process channels instead
+/// of a link.
 void Node::Impl::connectLocal(Entry &entry, Loop &loop) {
   auto holder = std::make_shared<std::shared_ptr<GateClient>>();
   auto toEntry = std::make_shared<LocalChannel>(
@@ -293,7 +294,8 @@
   });
 }
 
-/// The gate hears the end of each lease, and of each that is no longer held.
+/// Passes the end of each ejection lease to the gate, and no end for those that
+/// are no longer held.
 void Node::Impl::applyEjections(std::map<std::string, Instant> ends) {
   asio::post(Traffic[0]->Io, [this, it = std::move(ends)] {
     for (const auto &[endpoint, end] : it)
@@ -360,7 +362,8 @@
   return absl::OkStatus();
 }
 
-/// A node without metrics still serves.
+/// Starts the metrics listener. A failure is only logged: the node serves
+/// requests without it.
 void Node::Impl::startMetrics() {
   if (!MetricsHttp)
     return;
@@ -381,7 +384,7 @@
   return isGateIdle && inFlight == 0;
 }
 
-/// Gives the kept keys to their successors, then the keeper lease back.
+/// Copies the key records to their successors, then releases the keeper lease.
 void Node::Impl::handOnKeys() {
   auto handOn = [](KeyService *keys) -> asio::awaitable<bool> {
     co_return co_await keys->handOn(HandOnTimeout);
@@ -397,7 +400,7 @@
         .get();
 }
 
-// Called on the thread that also stops the node.
+/// Runs on the same thread as stop(), so DrainLimit and Linger need no lock.
 bool Node::Impl::reload(const NodeSettings &read) {
   NodeSettings settings = Platform ? Platform->AdaptSettings(read) : read;
   Config.DrainLimit = settings.DrainLimit;
--- a/src/libfleet/node/node.h
+++ b/src/libfleet/node/node.h
@@ -8,7 +8,7 @@
 
 namespace hickoryglade::fleet {
 
-/// One node of the fleet: its threads and what runs on them.
+/// One node of the fleet: its threads and the services that run on them.
 class Node {
 public:
   explicit Node(NodeSettings settings);
@@ -16,15 +16,16 @@
   Node(const Node &) = delete;
   Node &operator=(const Node &) = delete;
 
-  /// Starts all threads; on failure none runs.
+  /// Starts all threads; on failure, none is running.
   absl::Status start();
 
-  /// Takes over the settings that can change while the node runs; returns false
-  /// if others differ too.
+  /// Applies the settings that can change while the node runs. Returns false if
+  /// others differ too.
   bool reload(const NodeSettings &settings);
 
-  /// Leaves the fleet: takes nothing new, finishes what is in flight within
-  /// the configured limit. Returns false if something had to be cut off.
+  /// Leaves the fleet: stops accepting requests after the linger time and waits
+  /// for those in flight up to the configured limit. Returns false if some were
+  /// aborted.
   bool stop();
 
 private:
--- a/src/libfleet/node/platformadapter.h
+++ b/src/libfleet/node/platformadapter.h
@@ -13,24 +13,24 @@
 
 namespace hickoryglade::fleet {
 
-/// An endpoint says that it has left.
+/// Notice that an endpoint has left.
 struct Departure {
   std::string Name;
 };
 
-/// A message that cannot be used, with the reason.
+/// A message that cannot be parsed, with the reason.
 struct MalformedAnnouncement {
   std::string Reason;
 };
 
-/// What an endpoint says of itself; nothing if the request is not of that kind.
+/// A message of an endpoint about itself; monostate if the request is not one.
 using EndpointMessage = std::variant<std::monostate, Announcement, Departure,
                                      MalformedAnnouncement>;
 
-/// All that a platform words in its own way. An adapter registers itself under
-/// the name that node settings use.
+/// Platform-specific parts of a node. An adapter registers itself under the
+/// name that node settings use.
 struct PlatformAdapter {
-  /// Fits a node's settings to what the platform demands.
+  /// Adapts a node's settings to the platform's requirements.
   NodeSettings (*AdaptSettings)(NodeSettings settings);
   HttpDialect (*Dialect)();
   EndpointMessage (*ParseEndpointMessage)(const HttpRequest &request);
