--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -35,7 +35,8 @@
   return jsonAnswer(status, {{"error", reason}});
 }
 
-/// A text member of an announcement; the reason is set if it is not one.
+/// Returns a string member of a JSON object. Sets the reason if the member is
+/// missing or not a string of allowed length.
 std::string textOf(const json &object, const char *key, std::string &reason) {
   auto it = object.find(key);
   if (it != object.end() && it->is_string()) {
--- a/src/libfleet/node/adminfront.h
+++ b/src/libfleet/node/adminfront.h
@@ -16,22 +16,22 @@
 class Control;
 class Metrics;
 
-/// What endpoints and operators ask of a node: announcements, settings,
-/// reports, metrics. Takes requests on the gate's thread, which owns what
-/// endpoints say, and hands the rest to the control thread.
+/// The node's admin interface for endpoints and operators: announcements,
+/// settings, reports, metrics. Requests arrive on the gate's thread, which
+/// handles those of endpoints and passes the others to the control thread.
 class AdminFront {
 public:
   struct Events {
-    /// Gives the generation under which the endpoint runs, or nothing if the
-    /// node is leaving.
+    /// Returns the endpoint's generation, or nothing if the node is leaving.
     std::function<asio::awaitable<std::optional<std::int64_t>>(Announcement)>
         OnAnnounce;
     std::function<void(std::string)> OnWithdraw;
-    /// As OnWithdraw, and tells once it is done.
+    /// As OnWithdraw, but completes only once the endpoint is withdrawn.
     std::function<asio::awaitable<bool>(std::string)> OnDepart;
-    /// The endpoints of this node, with the reasons for their standing.
+    /// Describes the endpoints of this node, with the reasons for their
+    /// standing.
     std::function<nlohmann::json()> ReportGate;
-    /// Reads messages in the platform's words; may be empty.
+    /// Parses messages in the platform's format; may be empty.
     std::function<EndpointMessage(const HttpRequest &)> ParseMessage;
   };
 
@@ -40,7 +40,7 @@
 
   asio::awaitable<HttpAnswer> serve(HttpRequest request);
 
-  /// Takes questions for metrics only.
+  /// Serves requests for metrics only.
   asio::awaitable<HttpAnswer> serveMetrics(HttpRequest request);
 
 private:
