--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -17,18 +17,18 @@
 
 using nlohmann::json;
 
-/// Changes within this time make one view.
+/// Changes within this time are published in one view.
 constexpr Micros RebuildDelay = std::chrono::milliseconds(5);
 constexpr Micros VoucherTimeout = std::chrono::milliseconds(800);
 constexpr Millis ReadyPoll = std::chrono::milliseconds(100);
 constexpr Micros PeerDiscoveryWait = std::chrono::milliseconds(1'500);
 
-/// Between tries to reach the directory, and between looks into it while no
-/// other node is known.
+/// Delay before the directory is read again after a failure, and while no other
+/// node is known.
 constexpr Millis DirectoryRetryDelay = std::chrono::milliseconds(500);
 constexpr Millis DiscoveryPeriod = std::chrono::seconds(2);
 
-/// Nodes of other data centres that a node which starts asks by itself.
+/// Maximum number of seeds from other data centres.
 constexpr std::size_t RemoteSeeds = 2;
 
 MemberRecord makeRecord(const NodeSettings &settings, std::int64_t bootId) {
@@ -114,7 +114,7 @@
   return all;
 }
 
-/// Counts only endpoints that this node believes healthy.
+/// Lists only endpoints that are healthy as far as this node knows.
 LeaseRecord Control::describeEjection(const LeaseSubject &subject) const {
   LeaseRecord record;
   for (const Member *member : membersInService())
@@ -169,8 +169,8 @@
   Directory = platform.MakeDirectory(ex, Config.PlatformAddress);
 }
 
-/// The nodes of the own data centre, who tell of the others, and a few of
-/// those.
+/// Chooses the nodes of the own data centre, through which gossip reaches the
+/// others, and a few nodes of other data centres.
 std::vector<std::string>
 Control::chooseSeeds(std::vector<DirectoryEntry> entries) const {
   std::ranges::shuffle(entries, Random(std::uint64_t(BootId)));
@@ -182,8 +182,8 @@
   return seeds;
 }
 
-/// Enters this node into the directory, then looks for others until one is
-/// known; gossip brings the rest.
+/// Registers this node in the directory and reads the directory until another
+/// node is known. Gossip discovers the remaining nodes.
 asio::awaitable<void> Control::discoverNodes() {
   asio::steady_timer timer(Io);
   bool isEntered = false;
@@ -228,8 +228,8 @@
   if (Config.KeepsStandingsNear)
     for (EndpointRecord &it : record.Endpoints)
       it.State = isPassing(it.State) ? Standing::Healthy : it.State;
-  // Documents would change the records of all members at once; their version
-  // goes along with other messages.
+  // Every document would change the records of all members at once, so its
+  // version is sent in the other gossip messages instead.
   if (Directory)
     Members.setSettingsNext(Settings.state().Next);
   else
@@ -262,8 +262,8 @@
   scheduleStandingRepeat();
 }
 
-/// Goes on while an endpoint's standing is a passing one, or another node's
-/// report may lapse.
+/// Repeats this node's report and expires those of others, until no report is
+/// left.
 void Control::scheduleStandingRepeat() {
   StandingTimer.expires_after(StandingRepeat);
   StandingTimer.async_wait([this](const error_code &ec) {
@@ -292,8 +292,8 @@
   updateOwnRecord(true);
 }
 
-/// Callers come only once settings and members are known; a node that hears
-/// of no members takes itself for the first.
+/// Calls OnReady once settings are loaded and another member is known. A node
+/// that discovers no member in time assumes that it is the first.
 asio::awaitable<void> Control::awaitReady() {
   Instant start = now();
   asio::steady_timer timer(Io);
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -19,25 +19,29 @@
 
 namespace hickoryglade::fleet {
 
-/// Owns what a node knows of the fleet, on the control thread: members,
-/// settings, crashes. Hands the traffic threads a view at each change.
+/// The node's control plane, on the control thread. Owns the state of the fleet
+/// as this node knows it (members, settings, leases, crashes) and publishes a
+/// view of it to the traffic threads at each change.
 class Control {
 public:
   struct Events {
     /// Called with each new view, on the control thread.
     std::function<void(FleetViewPtr)> OnView;
-    /// Called once, when the node knows enough to serve callers.
+    /// Called once, when the node is ready to serve callers.
     std::function<void()> OnReady;
-    /// Ends of the ejection leases held, by endpoint, at each change.
+    /// Called at each change with the ends of the held ejection leases, by
+    /// endpoint.
     std::function<void(std::map<std::string, Instant>)> OnEjections;
-    /// Others know that these had left before this process started.
+    /// Called with this node's endpoints that left before its process started;
+    /// other nodes report them.
     std::function<void(std::vector<DepartedRecord>)> OnDeparted;
   };
 
   Control(asio::io_context &io, const NodeSettings &settings,
           std::int64_t bootId, Metrics &metrics, Events events);
 
-  /// Takes settings and other nodes from the platform in place of the log.
+  /// Reads settings and discovers nodes through the platform instead of the
+  /// log.
   void usePlatform(const PlatformAdapter &platform);
 
   absl::Status start();
@@ -48,7 +52,8 @@
   void noteCrash(std::uint64_t fingerprint, const CrashRecord &record);
   void leave();
 
-  /// Gives the keeper lease back once the records have been handed on.
+  /// Releases the keeper lease; called once the key records have been copied to
+  /// their successors.
   asio::awaitable<bool> resign(Millis limit) { return Leases.resign(limit); }
   bool vouch(const LeaseHolder &keeper) { return Leases.vouch(keeper); }
 
@@ -56,12 +61,12 @@
   const Membership &membership() const { return Members.state(); }
   const FleetViewPtr &view() const { return View; }
 
-  /// What operators are told.
+  /// Status report for operators.
   nlohmann::json report() const;
 
   NodeGauges gauges() const;
 
-  /// Answer to a peer that asks for the settings.
+  /// Reply to a peer's request for the settings.
   wire::Snapshot snapshot() const;
 
 private:
@@ -115,7 +120,8 @@
   StandingBoard Standings;
   asio::steady_timer StandingTimer;
   asio::steady_timer FreshnessTimer;
-  /// Until when the settings are known to be the newest by others' word.
+  /// Time until which the settings count as the newest, by the last freshness
+  /// notice from another node.
   Instant FreshUntil;
   TrafficCounters &Traffic;
   asio::steady_timer TrafficTimer;
--- a/src/libfleet/node/controlreport.cpp
+++ b/src/libfleet/node/controlreport.cpp
@@ -8,7 +8,7 @@
 
 #include <algorithm>
 
-/// What a node's control tells operators.
+/// Status report and gauges of a node's control plane.
 
 namespace hickoryglade::fleet {
 
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-/// Keeps the log's volume far below that of requests.
+/// Long enough to keep this log's volume far below that of requests.
 constexpr Micros TrafficLogPeriod = std::chrono::seconds(10);
 
 json endpointJson(const EndpointRecord &it) {
@@ -59,13 +59,14 @@
   return out;
 }
 
-/// Bytes of membership messages sent.
+/// Returns the bytes of membership messages sent.
 std::uint64_t Control::gossipBytes() const {
   return Traffic.bytes(TrafficCause::Membership, false) +
          Traffic.bytes(TrafficCause::Membership, true);
 }
 
-/// A line now and then that says where bytes go; none while nothing is sent.
+/// Periodically logs the bytes sent so far for each cause, to other data
+/// centres and within the own.
 void Control::logTraffic() {
   TrafficTimer.expires_after(TrafficLogPeriod);
   TrafficTimer.async_wait([this](const error_code &ec) {
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -9,8 +9,8 @@
 
 #include <algorithm>
 
-/// The part of a node's control that follows the settings: from their source if
-/// the node is one of its data centre's readers, else from peers.
+/// The part of a node's control plane that keeps the settings up to date: from
+/// their source if the node is a reader of its data centre, else from peers.
 
 namespace hickoryglade::fleet {
 
@@ -19,33 +19,35 @@
 constexpr Micros SnapshotTimeout = std::chrono::milliseconds(800);
 constexpr std::size_t MaxSnapshotPeers = 3;
 
-/// News of a settings document reaches most nodes from the store this soon;
-/// only those left behind ask their peers.
+/// Time in which most readers get a new settings document from the store. Only
+/// those that are still behind after it fetch the document from a peer.
 constexpr Millis CatchUpDelay = std::chrono::milliseconds(300);
 
-/// Those for whom others read ask at a time within this, so that they do not
-/// all ask the first to know.
+/// Random delay of nodes that don't read the store, so that they don't all
+/// fetch new settings from the first member that has them.
 constexpr std::uint64_t CatchUpJitterMs = 120;
 
-/// Between a reader's words to its data centre that it follows the source of
-/// settings, and how long each counts. One may be lost before others read for
-/// themselves, which leaves most of the 2 s in which a change must be in force.
+/// Interval of a reader's freshness notices to its data centre, and how long
+/// each is valid. One notice may be lost before other nodes read the source
+/// themselves, and most of the 2 s in which a change must be in force remain.
 constexpr Micros FreshnessPeriod = std::chrono::milliseconds(500);
 constexpr Micros FreshTerm = std::chrono::milliseconds(1'200);
 
-/// Members of the data centre that a node tells of settings it has taken.
+/// Number of members of the data centre to which a node sends the version of
+/// settings that it did not read from the source itself.
 constexpr std::size_t SettingsFanOut = 3;
 
 } // namespace
 
-/// One that is behind reads for itself if it cannot catch up.
+/// Ignores notices of older settings, and all while this node is behind: a node
+/// that cannot catch up must read the source itself.
 void Control::noteFreshSettings(std::int64_t next) {
   if (next >= Settings.state().Next && !isBehind())
     FreshUntil = now() + FreshTerm;
 }
 
-/// A node that the store does not serve takes newer settings from a member
-/// that says it has them.
+/// Starts to fetch newer settings from a member that reports having them, so
+/// that a node which the store does not serve gets them too.
 void Control::startCatchUp() {
   if (!Directory || IsCatchingUp || !isBehind())
     return;
@@ -58,8 +60,8 @@
                                             std::size_t(Config.SettingsReaders);
 }
 
-/// Waits while a reader's word that the settings are the newest counts. At the
-/// start nobody knows yet who the readers are.
+/// Waits while a reader's freshness notice is valid. At the start, every node
+/// waits once, since the readers are not known yet.
 asio::awaitable<void> Control::awaitPollDue() {
   bool isStart = FreshUntil == Instant{};
   if (isStart)
@@ -72,7 +74,8 @@
   }
 }
 
-/// While this node reads the source of settings, tells its data centre so.
+/// Sends freshness notices to the data centre while this node reads the source
+/// of settings.
 void Control::scheduleFreshnessNotice() {
   FreshnessTimer.expires_after(FreshnessPeriod);
   FreshnessTimer.async_wait([this](const error_code &ec) {
@@ -99,8 +102,8 @@
   return Members.state().Newest.Next > Settings.state().Next;
 }
 
-/// Members that have the newest settings, those of the own data centre if there
-/// are any.
+/// Returns the addresses of members with the newest settings: those in the own
+/// data centre, or all if there are none.
 std::vector<std::string> Control::membersWithNewestSettings() const {
   std::vector<std::string> all = Members.state().Newest.Addresses;
   std::vector<std::string> near;
@@ -129,7 +132,8 @@
   IsCatchingUp = false;
 }
 
-/// Order in which members take a task that one of them must do.
+/// Returns this node's rank among all members for a task that one of them must
+/// do.
 std::size_t Control::refreshRank(const std::string &what) const {
   const Membership &state = Members.state();
   std::uint64_t own = stableHash(what, stableHash(state.Self));
@@ -139,7 +143,8 @@
   return std::size_t(std::ranges::count_if(peers(state), isBefore));
 }
 
-/// Asks members, or seeds while there are none, until one has answered.
+/// Requests the settings from a few members, or from seeds while no member is
+/// known. Returns false if none replied.
 asio::awaitable<bool> Control::fetchSnapshot() {
   std::vector<std::string> addresses;
   for (const Member *peer : peers(Members.state()))
