--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -56,8 +56,8 @@
 
 /// Records when the version in force changed and calls OnChange.
 void SettingsService::reportChange() {
-  if (ReportedNext != Folded.Next) {
-    ReportedNext = Folded.Next;
+  if (ReportedNext != FoldedState.Next) {
+    ReportedNext = FoldedState.Next;
     InForceSince = now();
   }
   Handlers.OnChange();
@@ -73,7 +73,7 @@
   Loaded = co_await Handlers.FetchSnapshot();
   while (true) {
     Millis wait = Loaded ? PollWait : Millis(0);
-    ReadResult result = co_await Reader.read(Folded.Next, wait);
+    ReadResult result = co_await Reader.read(FoldedState.Next, wait);
     noteReachable(result.Status == LogStatus::Done ||
                   result.Status == LogStatus::Expired);
     if (result.Status == LogStatus::Done) {
@@ -109,7 +109,7 @@
     if (update.IsReachable != IsReachable)
       logEvent(LogLevel::Warn,
                update.IsReachable ? "store_regained" : "store_lost",
-               {{"settings_next", Folded.Next}});
+               {{"settings_next", FoldedState.Next}});
     noteReachable(update.IsReachable);
     applyDocument(update);
     if (IsReachable && Loaded) {
@@ -131,12 +131,12 @@
     Counters.countSettings("rejected");
     logEvent(LogLevel::Warn, "settings_rejected",
              {{"version", update.RefusedVersion},
-              {"in_force", Folded.Next},
+              {"in_force", FoldedState.Next},
               {"where", update.Faults.front().Where},
               {"reason", update.Faults.front().Reason},
               {"faults", update.Faults.size()}});
   }
-  if (!update.Document || !replaceTree(Folded, *update.Document))
+  if (!update.Document || !replaceTree(FoldedState, *update.Document))
     return;
   Loaded = true;
   Refused.reset();
@@ -153,16 +153,16 @@
 SettingsService::handleExpiredRecords(std::int64_t first) {
   FirstKept = first;
   bool hasPeerState = co_await Handlers.FetchSnapshot();
-  if (hasPeerState && Folded.Next >= first)
+  if (hasPeerState && FoldedState.Next >= first)
     co_return;
   logEvent(LogLevel::Warn, "log_expired",
-           {{"stream", Stream}, {"first", first}, {"next", Folded.Next}});
-  skipTo(Folded, first);
+           {{"stream", Stream}, {"first", first}, {"next", FoldedState.Next}});
+  skipTo(FoldedState, first);
 }
 
 void SettingsService::fold(const std::vector<LogRecord> &records) {
   for (const LogRecord &record : records) {
-    FoldResult result = foldRecord(Folded, record.Offset, record.Data);
+    FoldResult result = foldRecord(FoldedState, record.Offset, record.Data);
     if (!result.Rejected.empty()) {
       Counters.countSettings("rejected");
       logEvent(LogLevel::Warn, "settings_rejected",
@@ -183,8 +183,8 @@
 }
 
 void SettingsService::merge(const SettingsState &peer) {
-  bool isChanged =
-      Source ? takeSnapshot(Folded, peer) : mergeSnapshot(Folded, peer);
+  bool isChanged = Source ? takeSnapshot(FoldedState, peer)
+                          : mergeSnapshot(FoldedState, peer);
   bool isFirst = !Loaded;
   Loaded = true;
   if (isChanged || isFirst)
@@ -203,14 +203,14 @@
     if (result.Status == LogStatus::Done)
       break;
     Counters.countLogFailure("append");
-    if (Folded.Verdicts.contains(change.Id))
+    if (FoldedState.Verdicts.contains(change.Id))
       break;
     co_await pause(std::min(backoff, toMillis(until - now())));
     backoff = std::min(backoff * 2, MaxBackoff);
   }
   while (now() < until) {
-    auto it = Folded.Verdicts.find(change.Id);
-    if (it != Folded.Verdicts.end())
+    auto it = FoldedState.Verdicts.find(change.Id);
+    if (it != FoldedState.Verdicts.end())
       co_return it->second;
     co_await pause(VerdictPoll);
   }
@@ -220,7 +220,8 @@
 RecordPlace SettingsService::oldestSafe() const {
   RecordPlace place;
   if (FirstKept > 0)
-    place.Offset = FirstKept + (Folded.Next - FirstKept) / RefreshOffsetDivisor;
+    place.Offset =
+        FirstKept + (FoldedState.Next - FirstKept) / RefreshOffsetDivisor;
   place.AtMs = wallMicros() / 1'000 - Retention.count() / RefreshAgeDivisor;
   return place;
 }
@@ -231,12 +232,12 @@
     co_await pause(RefreshPeriod);
     if (!IsReachable)
       continue;
-    auto due = dueRefresh(Folded, oldestSafe());
+    auto due = dueRefresh(FoldedState, oldestSafe());
     if (!due)
       continue;
     std::string what = due->Path + ' ' + std::to_string(due->Revision);
     co_await pause(RefreshRankDelay * int(Handlers.RefreshRank(what)));
-    auto still = dueRefresh(Folded, oldestSafe());
+    auto still = dueRefresh(FoldedState, oldestSafe());
     if (!still || still->Path != due->Path)
       continue;
     still->AtMs = wallMicros() / 1'000;
--- a/src/libfleet/settings/settingsservice.h
+++ b/src/libfleet/settings/settingsservice.h
@@ -37,7 +37,7 @@
   void useDocumentSource(std::unique_ptr<SettingsSource> source);
 
   void start();
-  const SettingsState &state() const { return Folded; }
+  const SettingsState &state() const { return FoldedState; }
 
   /// True once settings have been received from the log, the document source or
   /// a peer.
@@ -80,7 +80,7 @@
   std::unique_ptr<SettingsSource> Source;
   Metrics &Counters;
   Events Handlers;
-  SettingsState Folded;
+  SettingsState FoldedState;
   std::int64_t FirstKept = 0;
   bool Loaded = false;
   bool IsReachable = false;
