--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -237,14 +237,14 @@
       continue;
     std::string what = due->Path + ' ' + std::to_string(due->Revision);
     co_await pause(RefreshRankDelay * int(Handlers.RefreshRank(what)));
-    auto still = dueRefresh(FoldedState, oldestSafe());
-    if (!still || still->Path != due->Path)
+    auto stillDue = dueRefresh(FoldedState, oldestSafe());
+    if (!stillDue || stillDue->Path != due->Path)
       continue;
-    still->AtMs = wallMicros() / 1'000;
-    AppendResult result = co_await writer.append(encodeRefresh(*still));
+    stillDue->AtMs = wallMicros() / 1'000;
+    AppendResult result = co_await writer.append(encodeRefresh(*stillDue));
     logEvent(LogLevel::Info, "settings_refresh",
-             {{"path", still->Path},
-              {"revision", still->Revision},
+             {{"path", stillDue->Path},
+              {"revision", stillDue->Revision},
               {"appended", result.Status == LogStatus::Done}});
   }
 }
