--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -124,7 +124,7 @@
     bool isHeld = isHeldBy(Agent.Ledger, subject, Agent.Self);
     if (isHeld || now() - requestedAt < AcquirePeriod)
       continue;
-    LeaseRecord record = Handlers.DescribeEjection(subject);
+    LeaseRecord record = Handlers.MakeEjectionRecord(subject);
     if (!meetsFloor(record))
       continue;
     requestedAt = now();
@@ -146,7 +146,7 @@
   for (const auto &[subject, lease] : Agent.Ledger.Leases) {
     if (subject.Kind != LeaseKind::Ejection || lease.Holder != Agent.Self)
       continue;
-    bool isAffordable = meetsFloor(Handlers.DescribeEjection(subject));
+    bool isAffordable = meetsFloor(Handlers.MakeEjectionRecord(subject));
     if (!isAffordable)
       WantedEjections.erase(subject);
     if (!WantedEjections.contains(subject))
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -25,7 +25,7 @@
     std::function<std::vector<LedgerMember>()> Members;
     /// Fills in the floor of a service and its healthy endpoints other than the
     /// given one.
-    std::function<LeaseRecord(const LeaseSubject &)> DescribeEjection;
+    std::function<LeaseRecord(const LeaseSubject &)> MakeEjectionRecord;
     /// Requests a voucher from this keeper's successor: its promise not to
     /// challenge the lease for a while.
     std::function<asio::awaitable<bool>(std::string node)> RequestVoucher;
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -96,8 +96,8 @@
     Handlers.OnEjections(Leases.ejections());
   };
   events.Members = [this] { return ledgerMembers(); };
-  events.DescribeEjection = [this](const LeaseSubject &subject) {
-    return describeEjection(subject);
+  events.MakeEjectionRecord = [this](const LeaseSubject &subject) {
+    return makeEjectionRecord(subject);
   };
   events.RequestVoucher = [this](std::string node) {
     return requestVoucher(std::move(node));
@@ -115,7 +115,7 @@
 }
 
 /// Lists only endpoints that are healthy as far as this node knows.
-LeaseRecord Control::describeEjection(const LeaseSubject &subject) const {
+LeaseRecord Control::makeEjectionRecord(const LeaseSubject &subject) const {
   LeaseRecord record;
   for (const Member *member : membersInService())
     for (const EndpointRecord &it : member->Record.Endpoints)
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -80,7 +80,7 @@
   LeaseService::Events leaseEvents();
   std::vector<LedgerMember> ledgerMembers() const;
   std::vector<const Member *> membersInService() const;
-  LeaseRecord describeEjection(const LeaseSubject &subject) const;
+  LeaseRecord makeEjectionRecord(const LeaseSubject &subject) const;
   std::size_t refreshRank(const std::string &what) const;
   void updateOwnRecord(bool isUrgent);
   void reportStandings();
