--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -146,8 +146,8 @@
   for (const auto &[subject, lease] : Agent.Ledger.Leases) {
     if (subject.Kind != LeaseKind::Ejection || lease.Holder != Agent.Self)
       continue;
-    bool isAffordable = meetsFloor(Handlers.MakeEjectionRecord(subject));
-    if (!isAffordable)
+    bool isAboveFloor = meetsFloor(Handlers.MakeEjectionRecord(subject));
+    if (!isAboveFloor)
       WantedEjections.erase(subject);
     if (!WantedEjections.contains(subject))
       needless.push_back(subject);
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -197,18 +197,18 @@
     for (const auto &[other, belief] : node.Beliefs)
       if (other != name && belief == Standing::Healthy)
         record.Healthy.push_back(other);
-    bool isAffordable = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
+    bool isAboveFloor = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
     if (!has(Mechanism::Leases)) {
-      if (isWanted && isAffordable)
+      if (isWanted && isAboveFloor)
         carryOut(node, setEjection(node.Door, name, Now + seconds(10), Now));
       continue;
     }
-    if (isWanted && !isHeld && isAffordable &&
+    if (isWanted && !isHeld && isAboveFloor &&
         Now - node.AskedAt[name] > seconds(2)) {
       node.AskedAt[name] = Now;
       append(encodeLease(record), false);
     }
-    if (isHeld && (!isWanted || !isAffordable)) {
+    if (isHeld && (!isWanted || !isAboveFloor)) {
       node.Ejecting.erase(name);
       record.Action = LeaseAction::Release;
       append(encodeLease(record), false);
