--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -22,7 +22,7 @@
 
 /// A keeper requests vouchers once its last successful read and its last
 /// voucher are both older than this.
-constexpr Micros VoucherAfter = std::chrono::seconds(3);
+constexpr Micros VoucherRenewalAge = std::chrono::seconds(3);
 
 constexpr std::size_t MaxHandedOn = 256;
 
@@ -177,8 +177,9 @@
 
 asio::awaitable<void> LeaseService::renewVoucher() {
   bool isKeeper = isHeldBy(Agent.Ledger, Keeper, Agent.Self);
-  bool isFresh = Agent.ReadAt && now() - *Agent.ReadAt < VoucherAfter;
-  bool isVouched = Agent.VouchedAt && now() - *Agent.VouchedAt < VoucherAfter;
+  bool isFresh = Agent.ReadAt && now() - *Agent.ReadAt < VoucherRenewalAge;
+  bool isVouched =
+      Agent.VouchedAt && now() - *Agent.VouchedAt < VoucherRenewalAge;
   std::string successor = keeperSuccessor(Agent.Ledger, Agent.Self.Node);
   if (!isKeeper || isFresh || isVouched || successor.empty())
     co_return;
