--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -117,7 +117,7 @@
 /// Lists only endpoints that are healthy as far as this node knows.
 LeaseRecord Control::makeEjectionRecord(const LeaseSubject &subject) const {
   LeaseRecord record;
-  for (const Member *member : membersInService())
+  for (const Member *member : activeMembers())
     for (const EndpointRecord &it : member->Record.Endpoints)
       if (it.Service == subject.Service && it.Name != subject.Name &&
           it.State == Standing::Healthy)
@@ -126,7 +126,7 @@
   return record;
 }
 
-std::vector<const Member *> Control::membersInService() const {
+std::vector<const Member *> Control::activeMembers() const {
   std::vector<const Member *> all = peers(Members.state());
   all.push_back(&Members.state().Members.at(Config.Node));
   return all;
--- a/src/libfleet/node/control.h
+++ b/src/libfleet/node/control.h
@@ -79,7 +79,7 @@
   asio::awaitable<bool> requestVoucher(std::string node);
   LeaseService::Events leaseEvents();
   std::vector<LedgerMember> ledgerMembers() const;
-  std::vector<const Member *> membersInService() const;
+  std::vector<const Member *> activeMembers() const;
   LeaseRecord makeEjectionRecord(const LeaseSubject &subject) const;
   std::size_t refreshRank(const std::string &what) const;
   void updateOwnRecord(bool isUrgent);
