--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -186,11 +186,11 @@
 /// node is known. Gossip discovers the remaining nodes.
 asio::awaitable<void> Control::discoverNodes() {
   asio::steady_timer timer(Io);
-  bool isEntered = false;
+  bool isRegistered = false;
   while (!IsLeaving) {
     DirectoryEntry own{Config.AdvertisedAddress, Config.DataCentre};
-    if (!isEntered)
-      isEntered = co_await Directory->enter(Config.Node, std::move(own));
+    if (!isRegistered)
+      isRegistered = co_await Directory->enter(Config.Node, std::move(own));
     auto entries = co_await Directory->list();
     if (entries)
       Members.addSeeds(chooseSeeds(std::move(*entries)));
@@ -198,7 +198,7 @@
       logEvent(LogLevel::Warn, "directory_unreachable", json::object());
     timer.expires_after(entries ? DiscoveryPeriod : DirectoryRetryDelay);
     co_await timer.async_wait(asio::use_awaitable);
-    if (isEntered && !peers(Members.state()).empty())
+    if (isRegistered && !peers(Members.state()).empty())
       co_return;
   }
 }
