--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -197,18 +197,18 @@
     for (const auto &[other, belief] : node.Beliefs)
       if (other != name && belief == Standing::Healthy)
         record.Healthy.push_back(other);
-    bool isAboveFloor = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
+    bool isAffordable = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
     if (!has(Mechanism::Leases)) {
-      if (isWanted && isAboveFloor)
+      if (isWanted && isAffordable)
         carryOut(node, setEjection(node.Door, name, Now + seconds(10), Now));
       continue;
     }
-    if (isWanted && !isHeld && isAboveFloor &&
+    if (isWanted && !isHeld && isAffordable &&
         Now - node.AskedAt[name] > seconds(2)) {
       node.AskedAt[name] = Now;
       append(encodeLease(record), false);
     }
-    if (isHeld && (!isWanted || !isAboveFloor)) {
+    if (isHeld && (!isWanted || !isAffordable)) {
       node.Ejecting.erase(name);
       record.Action = LeaseAction::Release;
       append(encodeLease(record), false);
