--- a/src/libfleet/keys/keyedcall.cpp
+++ b/src/libfleet/keys/keyedcall.cpp
@@ -11,21 +11,22 @@
 
 namespace {
 
-/// A grant counts only if it arrives this soon after it was asked for: a
-/// keeper that was paused in between may have lost its lease meanwhile.
-constexpr Micros GrantAge = std::chrono::seconds(3);
+/// A grant is valid only if it arrives within this time of the request. A
+/// keeper process that was paused in between may have lost its lease meanwhile.
+constexpr Micros MaxGrantAge = std::chrono::seconds(3);
 
-constexpr Micros AskLimit = std::chrono::milliseconds(1'500);
-constexpr Micros RecordLimit = std::chrono::seconds(1);
-constexpr Micros PollPause = std::chrono::milliseconds(30);
+constexpr Micros KeeperCallTimeout = std::chrono::milliseconds(1'500);
+constexpr Micros RecordTimeout = std::chrono::seconds(1);
+constexpr Micros KeyPollInterval = std::chrono::milliseconds(30);
 
-/// A request without a grant is given up after this time.
-constexpr Micros GrantPatience = std::chrono::seconds(3);
+/// Time that a request waits for a grant before it fails with
+/// KeeperUnavailable.
+constexpr Micros GrantTimeout = std::chrono::seconds(3);
 
-constexpr Millis RetrySoon = std::chrono::seconds(2);
+constexpr Millis RetryAfterKeyError = std::chrono::seconds(2);
 
-/// Verdicts that the keeper may change on its own before long.
-bool isPassing(KeyVerdict verdict) {
+/// True for verdicts that may soon change without action by the caller.
+bool isTransient(KeyVerdict verdict) {
   return verdict == KeyVerdict::NotKeeper || verdict == KeyVerdict::NoCopy;
 }
 
@@ -81,8 +82,8 @@
 }
 
 asio::awaitable<std::optional<wire::KeyReply>>
-KeyedCall::ask(const RequestContext &context, wire::KeyRequest request,
-               Instant until) {
+KeyedCall::callKeeper(const RequestContext &context, wire::KeyRequest request,
+                      Instant until) {
   std::vector<LeaseHolder> ranked =
       rankKeepers(View->Keepers, request.record.key);
   if (ranked.empty())
@@ -91,7 +92,7 @@
   if (node == View->Nodes.end() || node->second.BootId != ranked.front().BootId)
     co_return std::nullopt;
   NodeView target = node->second;
-  until = std::min(until, now() + AskLimit);
+  until = std::min(until, now() + KeeperCallTimeout);
   auto client = co_await Links.connect(ranked.front().Node, target, until);
   if (!client)
     co_return std::nullopt;
@@ -113,33 +114,34 @@
 
 asio::awaitable<EntryResult> KeyedCall::perform(RequestContext &context,
                                                 Run run) {
-  Instant patience = std::min(now() + GrantPatience, context.Deadline);
+  Instant grantDeadline = std::min(now() + GrantTimeout, context.Deadline);
   while (!context.Scope->IsCancelled) {
-    Instant asked = now();
+    Instant requestedAt = now();
     wire::KeyRequest request =
         makeRequest(context, wire::KeyOperation::RESERVE);
     std::optional<wire::KeyReply> reply =
-        co_await ask(context, request, context.Deadline);
+        co_await callKeeper(context, request, context.Deadline);
     KeyVerdict verdict = reply ? verdictOf(*reply) : KeyVerdict::NotKeeper;
-    bool isTimely = now() - asked < GrantAge;
+    bool isTimely = now() - requestedAt < MaxGrantAge;
     if (verdict == KeyVerdict::Granted && isTimely)
       co_return co_await runAndRecord(context, std::move(run));
     if (verdict == KeyVerdict::Done)
       co_return replay(reply->record.answer);
-    bool isFinal = !isPassing(verdict) && verdict != KeyVerdict::Running &&
+    bool isFinal = !isTransient(verdict) && verdict != KeyVerdict::Running &&
                    verdict != KeyVerdict::Granted;
     if (isFinal)
       co_return keyError(verdict);
     if (verdict == KeyVerdict::Running && now() >= context.Deadline)
       co_return makeError(ErrorKind::DeadlineExceeded,
                           "the first run with this key has not ended",
-                          RetrySoon);
-    if (isPassing(verdict) && now() >= patience) {
-      co_await ask(context, makeRequest(context, wire::KeyOperation::RELEASE),
-                   now() + RecordLimit);
-      co_return makeError(ErrorKind::KeeperUnavailable, {}, RetrySoon);
+                          RetryAfterKeyError);
+    if (isTransient(verdict) && now() >= grantDeadline) {
+      co_await callKeeper(context,
+                          makeRequest(context, wire::KeyOperation::RELEASE),
+                          now() + RecordTimeout);
+      co_return makeError(ErrorKind::KeeperUnavailable, {}, RetryAfterKeyError);
     }
-    asio::steady_timer pause(Executor, PollPause);
+    asio::steady_timer pause(Executor, KeyPollInterval);
     co_await pause.async_wait(asio::use_awaitable);
   }
   co_return makeError(ErrorKind::Cancelled);
@@ -171,7 +173,7 @@
     }
   }
   std::optional<wire::KeyReply> reply =
-      co_await ask(context, request, now() + RecordLimit);
+      co_await callKeeper(context, request, now() + RecordTimeout);
   if (!reply)
     logEvent(LogLevel::Warn, "key_not_recorded", {{"request", context.Id}});
 }
--- a/src/libfleet/keys/keyservice.cpp
+++ b/src/libfleet/keys/keyservice.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Micros AskLimit = std::chrono::milliseconds(500);
+constexpr Micros KeeperCallTimeout = std::chrono::milliseconds(500);
 constexpr Micros ExpiryPeriod = std::chrono::milliseconds(500);
 constexpr Micros LongestLifetime = std::chrono::hours(24);
 
@@ -119,7 +119,7 @@
 }
 
 bool KeyService::isKeeperOf(const std::vector<LeaseHolder> &ranked) const {
-  bool isHeld = View->KeeperUntil && now() < *View->KeeperUntil;
+  bool isHeld = View->KeeperLeaseEnd && now() < *View->KeeperLeaseEnd;
   return isHeld && !IsResigned && !ranked.empty() && ranked.front() == Self;
 }
 
@@ -157,21 +157,23 @@
   co_return verdictReply(verdict);
 }
 
-/// A key that this node does not know is new only if the next keeper takes
-/// the copy without knowing it either, and so say all who might.
+/// A key unknown to this node is new only if the next keeper in rank stores the
+/// copy without knowing the key, and no other process that may hold a record of
+/// it knows the key.
 asio::awaitable<KeyVerdict>
 KeyService::confirmNew(wire::KeyRequest request,
                        std::vector<LeaseHolder> ranked) {
-  std::vector<LeaseHolder> asked{Self};
-  std::vector<LeaseHolder> toAsk;
+  std::vector<LeaseHolder> queried{Self};
+  std::vector<LeaseHolder> toQuery;
   if (ranked.size() >= KeyCopies)
-    toAsk.push_back(ranked[1]);
+    toQuery.push_back(ranked[1]);
   request.rosterOffset = View->KeepersOffset;
   request.operation = wire::KeyOperation::COPY;
   Millis lifetime(request.record.lifetimeMs);
   while (true) {
-    for (const LeaseHolder &holder : toAsk) {
-      std::optional<wire::KeyReply> reply = co_await ask(holder, request);
+    for (const LeaseHolder &holder : toQuery) {
+      std::optional<wire::KeyReply> reply =
+          co_await callKeeper(holder, request);
       if (!reply)
         co_return KeyVerdict::NoCopy;
       if (reply->verdict == int(KeyVerdict::NotKeeper))
@@ -181,21 +183,21 @@
         Table.put(request.record.key, toEntry(reply->record));
         co_return KeyVerdict::Running;
       }
-      asked.push_back(holder);
+      queried.push_back(holder);
     }
-    auto more = Placement.formerKeepersToQuery(request.record.key, asked,
+    auto more = Placement.formerKeepersToQuery(request.record.key, queried,
                                                lifetime, now());
     if (!more)
       co_return KeyVerdict::Unvouched;
     if (more->empty())
       co_return KeyVerdict::Granted;
-    toAsk = std::move(*more);
+    toQuery = std::move(*more);
     request.operation = wire::KeyOperation::LOOKUP;
   }
 }
 
-/// A keeper's second copy. One who is behind in the ledger might still take
-/// itself for the keeper, so it must not confirm.
+/// Stores a keeper's second copy. A node that has read less of the ledger than
+/// the sender might still consider itself the keeper, so it must not confirm.
 wire::KeyReply KeyService::copy(const wire::KeyRequest &request) {
   if (View->KeepersOffset < request.rosterOffset)
     return verdictReply(KeyVerdict::NotKeeper);
@@ -225,26 +227,26 @@
   request.rosterOffset = 0;
   for (std::size_t i = 0; i < std::min(ranked.size(), KeyCopies); ++i)
     if (ranked[i] != Self)
-      co_await ask(ranked[i], request);
+      co_await callKeeper(ranked[i], request);
   co_return verdictReply(KeyVerdict::Granted);
 }
 
-/// Only for requests that are known not to have run.
+/// Frees the key of a request that is known not to have run.
 asio::awaitable<void> KeyService::release(wire::KeyRequest request) {
   Table.release(request.record.key, request.record.requestId);
   std::vector<LeaseHolder> ranked =
       rankKeepers(Placement.current(), request.record.key);
   if (ranked.size() >= KeyCopies && ranked.front() == Self)
-    co_await ask(ranked[1], request);
+    co_await callKeeper(ranked[1], request);
 }
 
 asio::awaitable<std::optional<wire::KeyReply>>
-KeyService::ask(LeaseHolder holder, wire::KeyRequest request) {
+KeyService::callKeeper(LeaseHolder holder, wire::KeyRequest request) {
   auto node = View->Nodes.find(holder.Node);
   if (node == View->Nodes.end() || node->second.BootId != holder.BootId)
     co_return std::nullopt;
   NodeView target = node->second;
-  Instant until = now() + AskLimit;
+  Instant until = now() + KeeperCallTimeout;
   auto client = co_await Links.connect(holder.Node, target, until);
   if (!client)
     co_return std::nullopt;
@@ -265,21 +267,21 @@
 asio::awaitable<bool> KeyService::handOn(Millis limit) {
   IsResigned = true;
   Instant until = now() + limit;
-  std::vector<LeaseHolder> heirs = Placement.current();
-  std::erase(heirs, Self);
+  std::vector<LeaseHolder> successors = Placement.current();
+  std::erase(successors, Self);
   bool isComplete = true;
   std::map<std::string, KeyEntry> entries = Table.entries();
   for (const auto &[key, entry] : entries) {
-    std::vector<LeaseHolder> ranked = rankKeepers(heirs, key);
+    std::vector<LeaseHolder> ranked = rankKeepers(successors, key);
     ranked.resize(std::min(ranked.size(), KeyCopies));
     wire::KeyRequest request;
     request.operation = wire::KeyOperation::COPY;
     request.record = toRecord(key, entry);
-    for (const LeaseHolder &heir : ranked) {
+    for (const LeaseHolder &successor : ranked) {
       bool isInTime = now() < until;
       std::optional<wire::KeyReply> reply;
       if (isInTime)
-        reply = co_await ask(heir, request);
+        reply = co_await callKeeper(successor, request);
       isComplete = isComplete && reply.has_value();
     }
   }
--- a/src/libfleet/log/leaseservice.cpp
+++ b/src/libfleet/log/leaseservice.cpp
@@ -13,20 +13,22 @@
 namespace {
 
 constexpr Millis PollWait = std::chrono::seconds(2);
-constexpr Millis FirstBackoff = std::chrono::milliseconds(200);
-constexpr Millis MostBackoff = std::chrono::seconds(2);
-constexpr Millis ActPeriod = std::chrono::milliseconds(200);
+constexpr Millis InitialBackoff = std::chrono::milliseconds(200);
+constexpr Millis MaxBackoff = std::chrono::seconds(2);
+constexpr Millis MaintenancePeriod = std::chrono::milliseconds(200);
 
-/// Between tries to acquire the same lease.
+/// Interval at which an unanswered request for a lease is repeated.
 constexpr Micros AcquirePeriod = std::chrono::seconds(2);
 
-/// With reads failing for this long, vouchers are sought instead.
-constexpr Micros VoucherAfter = std::chrono::seconds(3);
+/// A keeper requests vouchers once its last successful read and its last
+/// voucher are both older than this.
+constexpr Micros VoucherRenewalAge = std::chrono::seconds(3);
 
-constexpr std::size_t MostHandedOn = 256;
+constexpr std::size_t MaxHandedOn = 256;
 
-/// The ledger decides; this spares the log the requests that it would deny.
-bool leavesEnough(const LeaseRecord &record) {
+/// True if an ejection keeps the service at or above its floor. The ledger
+/// makes the decision; this check avoids appending records that it would deny.
+bool meetsFloor(const LeaseRecord &record) {
   return int(record.Healthy.size()) >= std::max(record.Floor, 1);
 }
 
@@ -51,7 +53,7 @@
 
 void LeaseService::start() {
   asio::co_spawn(Io, follow(), asio::detached);
-  asio::co_spawn(Io, act(), asio::detached);
+  asio::co_spawn(Io, maintainLeases(), asio::detached);
 }
 
 asio::awaitable<void> LeaseService::pause(Millis wait) {
@@ -60,10 +62,10 @@
 }
 
 asio::awaitable<void> LeaseService::follow() {
-  Millis backoff = FirstBackoff;
+  Millis backoff = InitialBackoff;
   while (true) {
     Instant began = now();
-    Millis wait = HasRead ? PollWait : Millis(0);
+    Millis wait = HasReachedTail ? PollWait : Millis(0);
     ReadResult result = co_await Reader.read(Agent.Ledger.Next, wait);
     if (result.Status == LogStatus::Expired) {
       Agent.Ledger.Next = std::max(Agent.Ledger.Next, result.First);
@@ -72,10 +74,10 @@
     if (result.Status != LogStatus::Done) {
       Counters.countLogFailure("read");
       co_await pause(backoff);
-      backoff = std::min(backoff * 2, MostBackoff);
+      backoff = std::min(backoff * 2, MaxBackoff);
       continue;
     }
-    backoff = FirstBackoff;
+    backoff = InitialBackoff;
     for (const LogRecord &record : result.Records)
       for (const LeaseEvent &it :
            applyLeaseRecord(Agent, record.Offset, record.Data, now())) {
@@ -86,11 +88,11 @@
                   {"holder", it.Holder.Node}});
         bool isKeeperGone = it.Subject.Kind == LeaseKind::Keeper &&
                             it.What == LeaseEvent::Change::Released;
-        if (isKeeperGone && HandedOn.size() < MostHandedOn)
+        if (isKeeperGone && HandedOn.size() < MaxHandedOn)
           HandedOn.push_back(it.Holder);
       }
-    bool isAtTail = result.Records.empty() || HasRead;
-    HasRead = HasRead || result.Records.empty();
+    bool isAtTail = result.Records.empty() || HasReachedTail;
+    HasReachedTail = HasReachedTail || result.Records.empty();
     if (isAtTail)
       noteRead(Agent, began);
     Handlers.OnChange();
@@ -109,45 +111,45 @@
 
 std::vector<LeaseRecord> LeaseService::dueRecords() {
   std::vector<LeaseRecord> due = dueRenewals(Agent, now());
-  if (!HasRead)
+  if (!HasReachedTail)
     return due;
   for (LeaseRecord &it : dueChallenges(Agent, Handlers.Members(), now()))
     due.push_back(std::move(it));
   bool isKeeper = isHeldBy(Agent.Ledger, Keeper, Agent.Self);
-  if (!isKeeper && !IsResigned && now() - KeeperAskedAt > AcquirePeriod) {
-    KeeperAskedAt = now();
+  if (!isKeeper && !IsResigned && now() - KeeperRequestedAt > AcquirePeriod) {
+    KeeperRequestedAt = now();
     due.push_back(ownRecord(LeaseAction::Acquire, Keeper));
   }
-  for (auto &[subject, askedAt] : Wanted) {
+  for (auto &[subject, requestedAt] : WantedEjections) {
     bool isHeld = isHeldBy(Agent.Ledger, subject, Agent.Self);
-    if (isHeld || now() - askedAt < AcquirePeriod)
+    if (isHeld || now() - requestedAt < AcquirePeriod)
       continue;
-    LeaseRecord record = Handlers.DescribeEjection(subject);
-    if (!leavesEnough(record))
+    LeaseRecord record = Handlers.MakeEjectionRecord(subject);
+    if (!meetsFloor(record))
       continue;
-    askedAt = now();
+    requestedAt = now();
     record.Action = LeaseAction::Acquire;
     record.Subject = subject;
     record.Holder = Agent.Self;
     record.Author = Agent.Self.Node;
     due.push_back(std::move(record));
   }
-  for (const LeaseSubject &subject : needlessEjections())
+  for (const LeaseSubject &subject : ejectionsToRelease())
     due.push_back(ownRecord(LeaseAction::Release, subject));
   return due;
 }
 
-/// Ejections that are no longer wanted, and those that a service cannot
-/// afford since others of its endpoints have failed.
-std::vector<LeaseSubject> LeaseService::needlessEjections() {
+/// Own ejection leases that are no longer wanted, or that leave a service below
+/// its floor because other endpoints of it have failed.
+std::vector<LeaseSubject> LeaseService::ejectionsToRelease() {
   std::vector<LeaseSubject> needless;
   for (const auto &[subject, lease] : Agent.Ledger.Leases) {
     if (subject.Kind != LeaseKind::Ejection || lease.Holder != Agent.Self)
       continue;
-    bool isAffordable = leavesEnough(Handlers.DescribeEjection(subject));
-    if (!isAffordable)
-      Wanted.erase(subject);
-    if (!Wanted.contains(subject))
+    bool isAboveFloor = meetsFloor(Handlers.MakeEjectionRecord(subject));
+    if (!isAboveFloor)
+      WantedEjections.erase(subject);
+    if (!WantedEjections.contains(subject))
       needless.push_back(subject);
   }
   return needless;
@@ -160,51 +162,52 @@
   co_return result.Status == LogStatus::Done;
 }
 
-asio::awaitable<void> LeaseService::act() {
+asio::awaitable<void> LeaseService::maintainLeases() {
   while (true) {
-    co_await pause(ActPeriod);
+    co_await pause(MaintenancePeriod);
     std::vector<LeaseRecord> due = dueRecords();
     for (LeaseRecord &record : due) {
-      bool isTaken = co_await append(std::move(record));
-      if (!isTaken)
+      bool isAppended = co_await append(std::move(record));
+      if (!isAppended)
         break;
     }
-    co_await seekVoucher();
+    co_await renewVoucher();
   }
 }
 
-asio::awaitable<void> LeaseService::seekVoucher() {
+asio::awaitable<void> LeaseService::renewVoucher() {
   bool isKeeper = isHeldBy(Agent.Ledger, Keeper, Agent.Self);
-  bool isFresh = Agent.ReadAt && now() - *Agent.ReadAt < VoucherAfter;
+  bool isFresh = Agent.ReadAt && now() - *Agent.ReadAt < VoucherRenewalAge;
   bool isVouched = Agent.SuccessorPromisedAt &&
-                   now() - *Agent.SuccessorPromisedAt < VoucherAfter;
+                   now() - *Agent.SuccessorPromisedAt < VoucherRenewalAge;
   std::string successor = keeperSuccessor(Agent.Ledger, Agent.Self.Node);
   if (!isKeeper || isFresh || isVouched || successor.empty())
     co_return;
-  Instant asked = now();
-  bool isPromised = co_await Handlers.AskVoucher(successor);
+  Instant requestedAt = now();
+  bool isPromised = co_await Handlers.RequestVoucher(successor);
   if (!isPromised)
     co_return;
-  noteSuccessorPromise(Agent, asked);
+  noteSuccessorPromise(Agent, requestedAt);
   Handlers.OnChange();
 }
 
-void LeaseService::wantEjection(const LeaseSubject &subject, bool isWanted) {
+void LeaseService::updateEjectionLease(const LeaseSubject &subject,
+                                       bool isWanted) {
   if (isWanted)
-    Wanted.try_emplace(subject);
+    WantedEjections.try_emplace(subject);
   else
-    Wanted.erase(subject);
+    WantedEjections.erase(subject);
 }
 
 std::map<std::string, Instant> LeaseService::ejections() const {
   std::map<std::string, Instant> ends;
-  for (const auto &[subject, askedAt] : Wanted)
+  for (const auto &[subject, requestedAt] : WantedEjections)
     if (auto end = leaseEnd(Agent, subject))
       ends[subject.Name] = *end;
   return ends;
 }
 
-std::optional<Instant> LeaseService::keeperUntil() const {
+std::optional<Instant> LeaseService::keeperLeaseEnd() const {
   if (IsResigned)
     return std::nullopt;
   return leaseEnd(Agent, Keeper);
@@ -224,7 +227,7 @@
     AppendResult result = co_await writer.append(encodeLease(record));
     if (result.Status == LogStatus::Done)
       co_return true;
-    co_await pause(ActPeriod);
+    co_await pause(MaintenancePeriod);
   }
   co_return !isHeldBy(Agent.Ledger, Keeper, Agent.Self);
 }
--- a/src/libfleet/log/leaseservice.h
+++ b/src/libfleet/log/leaseservice.h
@@ -14,18 +14,21 @@
 
 class Metrics;
 
-/// Takes part in the lease ledger on the control thread: follows the stream,
-/// holds this node's leases, challenges those of the dead.
+/// This node's part in the lease ledger, on the control thread. Reads the
+/// ledger's stream, acquires and renews this node's leases, and challenges the
+/// leases of dead nodes.
 class LeaseService {
 public:
   struct Events {
-    /// The ledger, or the time until which own leases hold, has changed.
+    /// Called when the ledger or the end of an own lease has changed.
     std::function<void()> OnChange;
     std::function<std::vector<LedgerMember>()> Members;
-    /// Healthy endpoints of a service besides the given one, and its floor.
-    std::function<LeaseRecord(const LeaseSubject &)> DescribeEjection;
-    /// Asks the successor for a promise.
-    std::function<asio::awaitable<bool>(std::string node)> AskVoucher;
+    /// Fills in the floor of a service and its healthy endpoints other than the
+    /// given one.
+    std::function<LeaseRecord(const LeaseSubject &)> MakeEjectionRecord;
+    /// Requests a voucher from this keeper's successor: its promise not to
+    /// challenge the lease for a while.
+    std::function<asio::awaitable<bool>(std::string node)> RequestVoucher;
   };
 
   LeaseService(asio::io_context &io, std::string logAddress, std::string stream,
@@ -35,32 +38,33 @@
 
   const LeaseAgent &agent() const { return Agent; }
 
-  /// Asks for an ejection lease, or gives it back.
-  void wantEjection(const LeaseSubject &subject, bool isWanted);
+  /// Starts to acquire an ejection lease, or releases it.
+  void updateEjectionLease(const LeaseSubject &subject, bool isWanted);
 
   /// Ends of the ejection leases held, by endpoint.
   std::map<std::string, Instant> ejections() const;
 
-  std::optional<Instant> keeperUntil() const;
+  std::optional<Instant> keeperLeaseEnd() const;
 
-  /// Keepers that have left in order.
+  /// Keepers that released their lease when they left.
   const std::vector<LeaseHolder> &handedOn() const { return HandedOn; }
 
-  /// Answers a keeper that asks this node for a promise.
+  /// Handles a keeper's request for a voucher. Returns whether this node gives
+  /// it.
   bool vouch(const LeaseHolder &keeper);
 
-  /// Gives the keeper lease back; ends once the log has taken that, or the
-  /// limit has passed.
+  /// Releases the keeper lease. Returns true once the log has the record, false
+  /// if it does not within the limit.
   asio::awaitable<bool> resign(Millis limit);
 
 private:
   asio::awaitable<void> follow();
-  asio::awaitable<void> act();
-  asio::awaitable<void> seekVoucher();
+  asio::awaitable<void> maintainLeases();
+  asio::awaitable<void> renewVoucher();
   asio::awaitable<bool> append(LeaseRecord record);
   asio::awaitable<void> pause(Millis wait);
   std::vector<LeaseRecord> dueRecords();
-  std::vector<LeaseSubject> needlessEjections();
+  std::vector<LeaseSubject> ejectionsToRelease();
   LeaseRecord ownRecord(LeaseAction action, const LeaseSubject &subject) const;
 
   asio::io_context &Io;
@@ -70,10 +74,10 @@
   Events Handlers;
   LeaseAgent Agent;
   LeaseSubject Keeper;
-  std::map<LeaseSubject, Instant> Wanted;
+  std::map<LeaseSubject, Instant> WantedEjections;
   std::vector<LeaseHolder> HandedOn;
-  Instant KeeperAskedAt;
-  bool HasRead = false;
+  Instant KeeperRequestedAt;
+  bool HasReachedTail = false;
   bool IsResigned = false;
 };
 
--- a/src/libfleet/node/adminfront.cpp
+++ b/src/libfleet/node/adminfront.cpp
@@ -16,9 +16,9 @@
 using nlohmann::json;
 
 constexpr int HeartbeatMs = 1'000;
-constexpr int MostSlots = 10'000;
-constexpr std::size_t MostNameBytes = 200;
-constexpr Millis PublishLimit = std::chrono::seconds(10);
+constexpr int MaxSlots = 10'000;
+constexpr std::size_t MaxNameBytes = 200;
+constexpr Millis PublishTimeout = std::chrono::seconds(10);
 constexpr std::string_view EndpointsPath = "/v1/endpoints";
 constexpr std::string_view SettingsPath = "/v1/settings";
 
@@ -31,16 +31,17 @@
   return answer;
 }
 
-HttpResponse fault(int status, const std::string &reason) {
+HttpResponse errorAnswer(int status, const std::string &reason) {
   return jsonAnswer(status, {{"error", reason}});
 }
 
-/// A text member of an announcement; the reason is set if it is not one.
+/// Returns a string member of a JSON object. Sets the reason if the member is
+/// missing or not a string of allowed length.
 std::string textOf(const json &object, const char *key, std::string &reason) {
   auto it = object.find(key);
   if (it != object.end() && it->is_string()) {
     auto text = it->get<std::string>();
-    if (!text.empty() && text.size() <= MostNameBytes)
+    if (!text.empty() && text.size() <= MaxNameBytes)
       return text;
   }
   reason = std::string(key) + " must be a text of 1 to 200 bytes";
@@ -63,7 +64,7 @@
     reason = "address must be IP:PORT";
   auto slots = object.find("slots");
   if (slots == object.end() || !slots->is_number_integer() ||
-      slots->get<std::int64_t>() < 1 || slots->get<std::int64_t>() > MostSlots)
+      slots->get<std::int64_t>() < 1 || slots->get<std::int64_t>() > MaxSlots)
     reason = "slots must be an integer from 1 to 10000";
   else
     out.Slots = slots->get<int>();
@@ -133,7 +134,7 @@
 
 HttpResponse announcedAnswer(const std::optional<std::int64_t> &generation) {
   if (!generation)
-    return fault(503, "the node is leaving");
+    return errorAnswer(503, "the node is leaving");
   return jsonAnswer(
       200, {{"generation", *generation}, {"heartbeat_ms", HeartbeatMs}});
 }
@@ -149,14 +150,15 @@
 
 AdminFront::AdminFront(asio::io_context &io, Control &control, Metrics &metrics,
                        Events events)
-    : Io(io), Owner(control), Counters(metrics), Handlers(std::move(events)) {}
+    : Io(io), NodeControl(control), Counters(metrics),
+      Handlers(std::move(events)) {}
 
 asio::awaitable<HttpResponse> AdminFront::serve(HttpRequest request) {
   const std::string &target = request.Target;
   if (Handlers.ParseMessage) {
     EndpointMessage message = Handlers.ParseMessage(request);
     if (!std::holds_alternative<std::monostate>(message))
-      co_return co_await takeMessage(std::move(message));
+      co_return co_await handleEndpointMessage(std::move(message));
   }
   if (target == EndpointsPath && request.Method == "POST")
     co_return co_await announce(request);
@@ -179,46 +181,48 @@
   if (target == "/v1/status" && isGet)
     co_return jsonAnswer(200, status(std::move(endpoints)));
   if (target == "/metrics" && isGet)
-    co_return metricsAnswer(Counters, Owner.gauges());
-  co_return fault(404, "no such resource");
+    co_return metricsAnswer(Counters, NodeControl.gauges());
+  co_return errorAnswer(404, "no such resource");
 }
 
 asio::awaitable<HttpResponse> AdminFront::serveMetrics(HttpRequest request) {
-  bool isAsked = request.Target == "/metrics" && request.Method == "GET";
-  if (!isAsked)
-    co_return fault(404, "no such resource");
+  bool isMetricsRequest =
+      request.Target == "/metrics" && request.Method == "GET";
+  if (!isMetricsRequest)
+    co_return errorAnswer(404, "no such resource");
   co_return co_await asio::co_spawn(
       Io, serveOperator(std::move(request), json::array()),
       asio::use_awaitable);
 }
 
 json AdminFront::status(json endpoints) const {
-  json all = Owner.report();
+  json all = NodeControl.report();
   all["own_endpoints"] = std::move(endpoints);
   return all;
 }
 
 asio::awaitable<HttpResponse> AdminFront::announce(const HttpRequest &request) {
   std::string reason;
-  std::optional<Announcement> facts =
+  std::optional<Announcement> announcement =
       parseAnnouncement(*request.Content, reason);
-  if (!facts)
-    co_return fault(400, reason);
+  if (!announcement)
+    co_return errorAnswer(400, reason);
   std::optional<std::int64_t> generation =
-      co_await Handlers.OnAnnounce(std::move(*facts));
+      co_await Handlers.OnAnnounce(std::move(*announcement));
   co_return announcedAnswer(generation);
 }
 
-asio::awaitable<HttpResponse> AdminFront::takeMessage(EndpointMessage message) {
+asio::awaitable<HttpResponse>
+AdminFront::handleEndpointMessage(EndpointMessage message) {
   if (auto *malformed = std::get_if<MalformedAnnouncement>(&message)) {
     logEvent(LogLevel::Warn, "announcement_malformed",
              {{"reason", malformed->Reason}});
-    co_return fault(400, malformed->Reason);
+    co_return errorAnswer(400, malformed->Reason);
   }
   if (auto *departure = std::get_if<Departure>(&message)) {
     bool isDone = co_await Handlers.OnDepart(departure->Name);
     co_return isDone ? jsonAnswer(200, json::object())
-                     : fault(503, "the node is leaving");
+                     : errorAnswer(503, "the node is leaving");
   }
   std::optional<std::int64_t> generation =
       co_await Handlers.OnAnnounce(std::get<Announcement>(std::move(message)));
@@ -234,14 +238,14 @@
   std::string reason;
   std::optional<SettingsChange> parsed = parseChange(*request.Content, reason);
   if (!parsed)
-    co_return fault(400, reason);
+    co_return errorAnswer(400, reason);
   std::vector<SettingsFault> faults;
   if (!parsed->Value.is_null())
     faults = checkSettingsValue(parsed->Path, parsed->Value);
   if (!faults.empty())
     co_return invalidAnswer(faults);
   std::optional<ChangeVerdict> verdict =
-      co_await Owner.settings().publish(*parsed, PublishLimit);
+      co_await NodeControl.settings().publish(*parsed, PublishTimeout);
   co_return verdictAnswer(verdict);
 }
 
@@ -250,8 +254,8 @@
   if (path.empty())
     path = "/";
   if (std::string reason = settingsPathFault(path); !reason.empty())
-    return fault(400, path + ": " + reason);
-  const SettingsTree &tree = Owner.settings().state().Tree;
+    return errorAnswer(400, path + ": " + reason);
+  const SettingsTree &tree = NodeControl.settings().state().Tree;
   json keys = json::object();
   for (const EffectiveValue &it : effectiveValues(tree, path))
     keys[it.Key] = {
--- a/src/libfleet/node/control.cpp
+++ b/src/libfleet/node/control.cpp
@@ -17,19 +17,19 @@
 
 using nlohmann::json;
 
-/// Changes within this time make one view.
+/// Changes within this time are published in one view.
 constexpr Micros RebuildDelay = std::chrono::milliseconds(5);
-constexpr Micros VouchLimit = std::chrono::milliseconds(800);
+constexpr Micros VoucherTimeout = std::chrono::milliseconds(800);
 constexpr Millis ReadyPoll = std::chrono::milliseconds(100);
-constexpr Micros LonelyTerm = std::chrono::milliseconds(1'500);
+constexpr Micros PeerDiscoveryWait = std::chrono::milliseconds(1'500);
 
-/// Between tries to reach the directory, and between looks into it while no
-/// other node is known.
-constexpr Millis DirectoryPause = std::chrono::milliseconds(500);
-constexpr Millis LonelyPause = std::chrono::seconds(2);
+/// Delay before the directory is read again after a failure, and while no other
+/// node is known.
+constexpr Millis DirectoryRetryDelay = std::chrono::milliseconds(500);
+constexpr Millis DiscoveryPeriod = std::chrono::seconds(2);
 
-/// Nodes of other data centres that a node which starts asks by itself.
-constexpr std::size_t FarSeeds = 2;
+/// Maximum number of seeds from other data centres.
+constexpr std::size_t RemoteSeeds = 2;
 
 MemberRecord makeRecord(const NodeSettings &settings, std::int64_t bootId) {
   MemberRecord record;
@@ -46,7 +46,7 @@
 
 Control::Control(asio::io_context &io, const NodeSettings &settings,
                  std::int64_t bootId, Metrics &metrics, Events events)
-    : Io(io), Facts(settings), BootId(bootId), Handlers(std::move(events)),
+    : Io(io), Config(settings), BootId(bootId), Handlers(std::move(events)),
       Links(io.get_executor(),
             makeHello(settings.Node, bootId, settings.DataCentre),
             metrics.traffic()),
@@ -58,31 +58,31 @@
                  if (mergeCrash(Crashes, fingerprint, record))
                    scheduleRebuild();
                },
-               [this] { followPeers(); },
+               [this] { startCatchUp(); },
                [this](const StandingReport &report) {
                  bool wasEmpty = Standings.Entries.empty();
                  if (applyReport(Standings, report, now()))
                    scheduleRebuild();
                  if (wasEmpty)
-                   repeatStandings();
+                   scheduleStandingRepeat();
                },
-               [this](std::int64_t next) { noteFresh(next); },
+               [this](std::int64_t next) { noteFreshSettings(next); },
                [this](std::vector<DepartedRecord> departed) {
                  Handlers.OnDeparted(std::move(departed));
                }}),
       Settings(io, settings.LogAddress, settings.StreamPrefix + ".settings",
                settings.LogRetention, metrics,
                {[this] {
-                  describe(false);
+                  updateOwnRecord(false);
                   spreadSettings();
                   scheduleRebuild();
                 },
                 [this] { return fetchSnapshot(); },
                 [this](const std::string &what) { return refreshRank(what); },
-                [this] { return awaitTurn(); }}),
+                [this] { return awaitPollDue(); }}),
       Leases(io, settings.LogAddress, settings.StreamPrefix + ".leases",
              {settings.Node, bootId}, metrics, leaseEvents()),
-      RebuildTimer(io), StandingTimer(io), BeatTimer(io),
+      RebuildTimer(io), StandingTimer(io), FreshnessTimer(io),
       Traffic(metrics.traffic()), TrafficTimer(io) {
   OwnStandings.Node = settings.Node;
   OwnStandings.BootId = bootId;
@@ -91,16 +91,16 @@
 LeaseService::Events Control::leaseEvents() {
   LeaseService::Events events;
   events.OnChange = [this] {
-    describe(false);
+    updateOwnRecord(false);
     scheduleRebuild();
     Handlers.OnEjections(Leases.ejections());
   };
   events.Members = [this] { return ledgerMembers(); };
-  events.DescribeEjection = [this](const LeaseSubject &subject) {
-    return describeEjection(subject);
+  events.MakeEjectionRecord = [this](const LeaseSubject &subject) {
+    return makeEjectionRecord(subject);
   };
-  events.AskVoucher = [this](std::string node) {
-    return askVoucher(std::move(node));
+  events.RequestVoucher = [this](std::string node) {
+    return requestVoucher(std::move(node));
   };
   return events;
 }
@@ -114,10 +114,10 @@
   return all;
 }
 
-/// Counts only endpoints that this node believes healthy.
-LeaseRecord Control::describeEjection(const LeaseSubject &subject) const {
+/// Lists only endpoints that are healthy as far as this node knows.
+LeaseRecord Control::makeEjectionRecord(const LeaseSubject &subject) const {
   LeaseRecord record;
-  for (const Member *member : membersInService())
+  for (const Member *member : activeMembers())
     for (const EndpointRecord &it : member->Record.Endpoints)
       if (it.Service == subject.Service && it.Name != subject.Name &&
           it.State == Standing::Healthy)
@@ -126,18 +126,18 @@
   return record;
 }
 
-std::vector<const Member *> Control::membersInService() const {
+std::vector<const Member *> Control::activeMembers() const {
   std::vector<const Member *> all = peers(Members.state());
-  all.push_back(&Members.state().Members.at(Facts.Node));
+  all.push_back(&Members.state().Members.at(Config.Node));
   return all;
 }
 
-void Control::wantEjection(const EjectionAction &action) {
+void Control::updateEjectionLease(const EjectionAction &action) {
   LeaseSubject subject{LeaseKind::Ejection, action.Service, action.Endpoint};
-  Leases.wantEjection(subject, action.IsWanted);
+  Leases.updateEjectionLease(subject, action.IsWanted);
 }
 
-asio::awaitable<bool> Control::askVoucher(std::string node) {
+asio::awaitable<bool> Control::requestVoucher(std::string node) {
   const auto &members = Members.state().Members;
   auto member = members.find(node);
   if (member == members.end())
@@ -145,7 +145,7 @@
   NodeView view;
   view.FleetAddress = member->second.Record.FleetAddress;
   auto client =
-      co_await Links.connect(view.FleetAddress, view, now() + VouchLimit);
+      co_await Links.connect(view.FleetAddress, view, now() + VoucherTimeout);
   if (!client)
     co_return false;
   auto box = std::make_shared<StreamMailbox>(Io.get_executor());
@@ -153,11 +153,11 @@
   frame.stream = client->open(box, 0);
   std::int64_t stream = frame.stream;
   frame.keyRequest.operation = wire::KeyOperation::VOUCH;
-  frame.keyRequest.record.requestId = Facts.Node;
+  frame.keyRequest.record.requestId = Config.Node;
   frame.keyRequest.record.fingerprint = BootId;
   frame.__isset.keyRequest = true;
   client->channel().send(std::move(frame));
-  std::optional<StreamEvent> event = co_await box->next(now() + VouchLimit);
+  std::optional<StreamEvent> event = co_await box->next(now() + VoucherTimeout);
   client->closeStream(stream);
   auto *reply = event ? std::get_if<wire::KeyReply>(&event->Content) : nullptr;
   co_return reply && reply->verdict == int(KeyVerdict::Granted);
@@ -165,40 +165,41 @@
 
 void Control::usePlatform(const PlatformAdapter &platform) {
   asio::any_io_executor ex = Io.get_executor();
-  Settings.followDocuments(platform.MakeSettingsSource(ex, Facts));
-  Directory = platform.MakeDirectory(ex, Facts.PlatformAddress);
+  Settings.useDocumentSource(platform.MakeSettingsSource(ex, Config));
+  Directory = platform.MakeDirectory(ex, Config.PlatformAddress);
 }
 
-/// The nodes of the own data centre, who tell of the others, and a few of
-/// those.
+/// Chooses the nodes of the own data centre, through which gossip reaches the
+/// others, and a few nodes of other data centres.
 std::vector<std::string>
 Control::chooseSeeds(std::vector<DirectoryEntry> entries) const {
   std::ranges::shuffle(entries, Random(std::uint64_t(BootId)));
   std::vector<std::string> seeds;
   std::size_t far = 0;
   for (const DirectoryEntry &it : entries)
-    if (it.DataCentre == Facts.DataCentre || far++ < FarSeeds)
+    if (it.DataCentre == Config.DataCentre || far++ < RemoteSeeds)
       seeds.push_back(it.Address);
   return seeds;
 }
 
-/// Enters this node into the directory, then looks for others until one is
-/// known; gossip brings the rest.
-asio::awaitable<void> Control::findNodes() {
+/// Registers this node in the directory and reads the directory until another
+/// node is known. Gossip discovers the remaining nodes.
+asio::awaitable<void> Control::discoverNodes() {
   asio::steady_timer timer(Io);
-  bool isEntered = false;
+  bool isRegistered = false;
   while (!IsLeaving) {
-    DirectoryEntry own{Facts.AdvertisedAddress, Facts.DataCentre};
-    if (!isEntered)
-      isEntered = co_await Directory->registerNode(Facts.Node, std::move(own));
+    DirectoryEntry own{Config.AdvertisedAddress, Config.DataCentre};
+    if (!isRegistered)
+      isRegistered =
+          co_await Directory->registerNode(Config.Node, std::move(own));
     auto entries = co_await Directory->list();
     if (entries)
       Members.addSeeds(chooseSeeds(std::move(*entries)));
     else
       logEvent(LogLevel::Warn, "directory_unreachable", json::object());
-    timer.expires_after(entries ? LonelyPause : DirectoryPause);
+    timer.expires_after(entries ? DiscoveryPeriod : DirectoryRetryDelay);
     co_await timer.async_wait(asio::use_awaitable);
-    if (isEntered && !peers(Members.state()).empty())
+    if (isRegistered && !peers(Members.state()).empty())
       co_return;
   }
 }
@@ -208,10 +209,10 @@
   if (!status.ok())
     return status;
   Settings.start();
-  if (Directory && Facts.SettingsReaders > 0)
-    beatSettings();
+  if (Directory && Config.SettingsReaders > 0)
+    scheduleFreshnessNotice();
   if (Directory)
-    asio::co_spawn(Io, findNodes(), asio::detached);
+    asio::co_spawn(Io, discoverNodes(), asio::detached);
   else
     Leases.start();
   scheduleRebuild();
@@ -220,16 +221,16 @@
   return absl::OkStatus();
 }
 
-void Control::describe(bool isUrgent) {
-  MemberRecord record = makeRecord(Facts, BootId);
+void Control::updateOwnRecord(bool isUrgent) {
+  MemberRecord record = makeRecord(Config, BootId);
   record.IsLeaving = IsLeaving;
   record.Endpoints = Endpoints;
   record.Departed = Departed;
-  if (Facts.KeepsStandingsNear)
+  if (Config.KeepsStandingsNear)
     for (EndpointRecord &it : record.Endpoints)
       it.State = isTransient(it.State) ? Standing::Healthy : it.State;
-  // Documents would change the records of all members at once; their version
-  // goes along with other messages.
+  // Every document would change the records of all members at once, so its
+  // version is sent in the other gossip messages instead.
   if (Directory)
     Members.setSettingsNext(Settings.state().Next);
   else
@@ -242,8 +243,8 @@
                            std::vector<DepartedRecord> departed) {
   Endpoints = std::move(endpoints);
   Departed = std::move(departed);
-  describe(true);
-  if (Facts.KeepsStandingsNear)
+  updateOwnRecord(true);
+  if (Config.KeepsStandingsNear)
     reportStandings();
   scheduleRebuild();
 }
@@ -259,12 +260,12 @@
   ++OwnStandings.Sequence;
   applyReport(Standings, OwnStandings, now());
   Members.broadcastStandings(OwnStandings);
-  repeatStandings();
+  scheduleStandingRepeat();
 }
 
-/// Goes on while an endpoint's standing is a passing one, or another node's
-/// report may lapse.
-void Control::repeatStandings() {
+/// Repeats this node's report and expires those of others, until no report is
+/// left.
+void Control::scheduleStandingRepeat() {
   StandingTimer.expires_after(StandingRepeatPeriod);
   StandingTimer.async_wait([this](const error_code &ec) {
     if (ec)
@@ -277,7 +278,7 @@
     if (expireReports(Standings, now()))
       scheduleRebuild();
     if (!Standings.Entries.empty())
-      repeatStandings();
+      scheduleStandingRepeat();
   });
 }
 
@@ -289,11 +290,11 @@
 
 void Control::leave() {
   IsLeaving = true;
-  describe(true);
+  updateOwnRecord(true);
 }
 
-/// Callers come only once settings and members are known; a node that hears
-/// of no members takes itself for the first.
+/// Calls OnReady once settings are loaded and another member is known. A node
+/// that discovers no member in time assumes that it is the first.
 asio::awaitable<void> Control::awaitReady() {
   Instant start = now();
   asio::steady_timer timer(Io);
@@ -302,7 +303,7 @@
     timer.expires_after(ReadyPoll);
     co_await timer.async_wait(asio::use_awaitable);
     bool hasMembers = !peers(Members.state()).empty();
-    bool hasWaited = now() - start > LonelyTerm;
+    bool hasWaited = now() - start > PeerDiscoveryWait;
     isReady = Settings.isLoaded() && (hasMembers || hasWaited);
   }
   timer.expires_after(ReadyPoll);
@@ -382,7 +383,7 @@
   view->Keepers = keeperRoster(Leases.agent().Ledger);
   view->KeepersOffset = Leases.agent().Ledger.Next;
   view->HandedOn = Leases.handedOn();
-  view->KeeperUntil = Leases.keeperUntil();
+  view->KeeperLeaseEnd = Leases.keeperLeaseEnd();
   for (const auto &[name, service] : view->Services)
     view->Root.MaxBodyBytes =
         std::max(view->Root.MaxBodyBytes, service.Policy.MaxBodyBytes);
--- a/src/libfleet/node/controlreport.cpp
+++ b/src/libfleet/node/controlreport.cpp
@@ -8,7 +8,7 @@
 
 #include <algorithm>
 
-/// What a node's control tells operators.
+/// Status report and gauges of a node's control plane.
 
 namespace hickoryglade::fleet {
 
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-/// Keeps the log's volume far below that of requests.
+/// Long enough to keep this log's volume far below that of requests.
 constexpr Micros TrafficLogPeriod = std::chrono::seconds(10);
 
 json endpointJson(const EndpointRecord &it) {
@@ -53,19 +53,20 @@
   for (const auto &[node, member] : Members.state().Members)
     ++out.MembersByState[std::string(toString(member.State))];
   out.SettingsVersion = double(Settings.state().Next);
-  out.SettingsInForce = now() - Settings.takenAt();
-  out.SourceAge = now() - Settings.heardAt();
+  out.SettingsInForce = now() - Settings.inForceSince();
+  out.SourceAge = now() - Settings.sourceAnsweredAt();
   out.IsSourceReachable = Settings.isLogReachable();
   return out;
 }
 
-/// Bytes of membership messages sent.
+/// Returns the bytes of membership messages sent.
 std::uint64_t Control::gossipBytes() const {
   return Traffic.bytes(TrafficCause::Membership, false) +
          Traffic.bytes(TrafficCause::Membership, true);
 }
 
-/// A line now and then that says where bytes go; none while nothing is sent.
+/// Periodically logs the bytes sent so far for each cause, to other data
+/// centres and within the own.
 void Control::logTraffic() {
   TrafficTimer.expires_after(TrafficLogPeriod);
   TrafficTimer.async_wait([this](const error_code &ec) {
@@ -116,12 +117,13 @@
       {"settings_refused", std::move(refused)},
       {"keepers", std::move(keepers)},
       {"ejections", std::move(ejections)},
-      {"node", Facts.Node},
+      {"node", Config.Node},
       {"settings_next", Settings.state().Next},
       {"gossip_bytes_sent", gossipBytes()},
       {"settings_loaded", Settings.isLoaded()},
-      {"settings_in_force_ms", toMillis(now() - Settings.takenAt()).count()},
-      {"source_age_ms", toMillis(now() - Settings.heardAt()).count()},
+      {"settings_in_force_ms",
+       toMillis(now() - Settings.inForceSince()).count()},
+      {"source_age_ms", toMillis(now() - Settings.sourceAnsweredAt()).count()},
       {"log_reachable", Settings.isLogReachable()},
       {"members", std::move(members)},
       {"quarantine", std::move(crashes)}};
--- a/src/libfleet/node/controlsettings.cpp
+++ b/src/libfleet/node/controlsettings.cpp
@@ -9,44 +9,46 @@
 
 #include <algorithm>
 
-/// The part of a node's control that follows the settings: from their source if
-/// the node is one of its data centre's readers, else from peers.
+/// The part of a node's control plane that keeps the settings up to date: from
+/// their source if the node is a reader of its data centre, else from peers.
 
 namespace hickoryglade::fleet {
 
 namespace {
 
-constexpr Micros SnapshotLimit = std::chrono::milliseconds(800);
-constexpr std::size_t MostSnapshotPeers = 3;
+constexpr Micros SnapshotTimeout = std::chrono::milliseconds(800);
+constexpr std::size_t MaxSnapshotPeers = 3;
 
-/// News of a settings document reaches most nodes from the store this soon;
-/// only those left behind ask their peers.
+/// Time in which most readers get a new settings document from the store. Only
+/// those that are still behind after it fetch the document from a peer.
 constexpr Millis CatchUpDelay = std::chrono::milliseconds(300);
 
-/// Those for whom others read ask at a time within this, so that they do not
-/// all ask the first to know.
-constexpr std::uint64_t FollowSpreadMs = 120;
+/// Random delay of nodes that don't read the store, so that they don't all
+/// fetch new settings from the first member that has them.
+constexpr std::uint64_t CatchUpJitterMs = 120;
 
-/// Between a reader's words to its data centre that it follows the source of
-/// settings, and how long each counts. One may be lost before others read for
-/// themselves, which leaves most of the 2 s in which a change must be in force.
-constexpr Micros BeatPeriod = std::chrono::milliseconds(500);
+/// Interval of a reader's freshness notices to its data centre, and how long
+/// each is valid. One notice may be lost before other nodes read the source
+/// themselves, and most of the 2 s in which a change must be in force remain.
+constexpr Micros FreshnessPeriod = std::chrono::milliseconds(500);
 constexpr Micros FreshTerm = std::chrono::milliseconds(1'200);
 
-/// Members of the data centre that a node tells of settings it has taken.
+/// Number of members of the data centre to which a node sends the version of
+/// settings that it did not read from the source itself.
 constexpr std::size_t SettingsFanOut = 3;
 
 } // namespace
 
-/// One that is behind reads for itself if it cannot catch up.
-void Control::noteFresh(std::int64_t next) {
+/// Ignores notices of older settings, and all while this node is behind: a node
+/// that cannot catch up must read the source itself.
+void Control::noteFreshSettings(std::int64_t next) {
   if (next >= Settings.state().Next && !isBehind())
     FreshUntil = now() + FreshTerm;
 }
 
-/// A node that the store does not serve takes newer settings from a member
-/// that says it has them.
-void Control::followPeers() {
+/// Starts to fetch newer settings from a member that reports having them, so
+/// that a node which the store does not serve gets them too.
+void Control::startCatchUp() {
   if (!Directory || IsCatchingUp || !isBehind())
     return;
   IsCatchingUp = true;
@@ -54,13 +56,13 @@
 }
 
 bool Control::isReader() const {
-  return Facts.SettingsReaders == 0 ||
-         rankInDataCentre(Members.state()) < std::size_t(Facts.SettingsReaders);
+  return Config.SettingsReaders == 0 || rankInDataCentre(Members.state()) <
+                                            std::size_t(Config.SettingsReaders);
 }
 
-/// Waits while a reader's word that the settings are the newest counts. At the
-/// start nobody knows yet who the readers are.
-asio::awaitable<void> Control::awaitTurn() {
+/// Waits while a reader's freshness notice is valid. At the start, every node
+/// waits once, since the readers are not known yet.
+asio::awaitable<void> Control::awaitPollDue() {
   bool isStart = FreshUntil == Instant{};
   if (isStart)
     FreshUntil = now() + FreshTerm;
@@ -72,22 +74,23 @@
   }
 }
 
-/// While this node reads the source of settings, tells its data centre so.
-void Control::beatSettings() {
-  BeatTimer.expires_after(BeatPeriod);
-  BeatTimer.async_wait([this](const error_code &ec) {
+/// Sends freshness notices to the data centre while this node reads the source
+/// of settings.
+void Control::scheduleFreshnessNotice() {
+  FreshnessTimer.expires_after(FreshnessPeriod);
+  FreshnessTimer.async_wait([this](const error_code &ec) {
     if (ec || IsLeaving)
       return;
     if (isReader() && Settings.isLogReachable() && Settings.isLoaded() &&
         !isBehind())
       Members.sendSettingsVersion(peers(Members.state()).size(), true);
-    beatSettings();
+    scheduleFreshnessNotice();
   });
 }
 
 void Control::spreadSettings() {
   std::int64_t next = Settings.state().Next;
-  if (Facts.SettingsReaders == 0 || next <= SpreadNext)
+  if (Config.SettingsReaders == 0 || next <= SpreadNext)
     return;
   SpreadNext = next;
   bool isFresh = isReader() && Settings.isLogReachable();
@@ -99,9 +102,9 @@
   return Members.state().NewestSettings.Next > Settings.state().Next;
 }
 
-/// Members that have the newest settings, those of the own data centre if there
-/// are any.
-std::vector<std::string> Control::newestHolders() const {
+/// Returns the addresses of members with the newest settings: those in the own
+/// data centre, or all if there are none.
+std::vector<std::string> Control::membersWithNewestSettings() const {
   std::vector<std::string> all = Members.state().NewestSettings.Addresses;
   std::vector<std::string> near;
   for (const Member *peer : nearPeers(Members.state()))
@@ -115,12 +118,12 @@
   while (isBehind()) {
     Millis delay = CatchUpDelay;
     if (!isReader())
-      delay = Millis(std::uint64_t(wallMicros()) % FollowSpreadMs);
+      delay = Millis(std::uint64_t(wallMicros()) % CatchUpJitterMs);
     timer.expires_after(delay);
     co_await timer.async_wait(asio::use_awaitable);
     if (!isBehind())
       break;
-    bool hasAnswer = co_await fetchSnapshotFrom(newestHolders(), 1);
+    bool hasAnswer = co_await fetchSnapshotFrom(membersWithNewestSettings(), 1);
     if (!hasAnswer)
       hasAnswer = co_await fetchSnapshot();
     logEvent(LogLevel::Info, "settings_from_peer",
@@ -129,7 +132,8 @@
   IsCatchingUp = false;
 }
 
-/// Order in which members take a task that one of them must do.
+/// Returns this node's rank among all members for a task that one of them must
+/// do.
 std::size_t Control::refreshRank(const std::string &what) const {
   const Membership &state = Members.state();
   std::uint64_t own = stableHash(what, stableHash(state.Self));
@@ -139,14 +143,15 @@
   return std::size_t(std::ranges::count_if(peers(state), isBefore));
 }
 
-/// Asks members, or seeds while there are none, until one has answered.
+/// Requests the settings from a few members, or from seeds while no member is
+/// known. Returns false if none replied.
 asio::awaitable<bool> Control::fetchSnapshot() {
   std::vector<std::string> addresses;
   for (const Member *peer : peers(Members.state()))
     addresses.push_back(peer->Record.FleetAddress);
   if (addresses.empty())
-    addresses = Facts.Seeds;
-  co_return co_await fetchSnapshotFrom(std::move(addresses), MostSnapshotPeers);
+    addresses = Config.Seeds;
+  co_return co_await fetchSnapshotFrom(std::move(addresses), MaxSnapshotPeers);
 }
 
 asio::awaitable<bool>
@@ -156,11 +161,12 @@
   addresses.resize(std::min(addresses.size(), most));
   bool hasAnswer = false;
   for (const std::string &address : addresses) {
-    if (address == Facts.AdvertisedAddress)
+    if (address == Config.AdvertisedAddress)
       continue;
     NodeView view;
     view.FleetAddress = address;
-    auto client = co_await Links.connect(address, view, now() + SnapshotLimit);
+    auto client =
+        co_await Links.connect(address, view, now() + SnapshotTimeout);
     if (!client)
       continue;
     auto box = std::make_shared<StreamMailbox>(Io.get_executor());
@@ -170,7 +176,7 @@
     frame.__set_snapshotRequest({});
     client->channel().send(std::move(frame));
     std::optional<StreamEvent> event =
-        co_await box->next(now() + SnapshotLimit);
+        co_await box->next(now() + SnapshotTimeout);
     client->closeStream(stream);
     auto *content =
         event ? std::get_if<wire::Snapshot>(&event->Content) : nullptr;
--- a/src/libfleet/node/node.cpp
+++ b/src/libfleet/node/node.cpp
@@ -29,10 +29,10 @@
 
 namespace {
 
-constexpr Millis HandOnLimit = std::chrono::seconds(2);
+constexpr Millis HandOnTimeout = std::chrono::seconds(2);
 constexpr Millis StopPoll = std::chrono::milliseconds(20);
 
-HttpResponse faultAnswer(int status) {
+HttpResponse rejectedRequestAnswer(int status) {
   ErrorKind kind = status == 431   ? ErrorKind::HeadersTooLarge
                    : status == 413 ? ErrorKind::BodyTooLarge
                    : status == 408 ? ErrorKind::RequestTimeout
@@ -50,7 +50,7 @@
   return answer;
 }
 
-/// Waits on the calling thread, which runs no executor.
+/// Blocks the calling thread, which runs no executor.
 void pauseFor(Millis time) {
   asio::io_context io;
   asio::steady_timer timer(io, time);
@@ -59,8 +59,8 @@
 
 } // namespace
 
-struct Node::Parts {
-  explicit Parts(NodeSettings settings);
+struct Node::Impl {
+  explicit Impl(NodeSettings settings);
 
   absl::Status start();
   void startMetrics();
@@ -71,26 +71,27 @@
   asio::awaitable<bool> depart(std::string endpoint);
   void connectLocal(Entry &entry, Loop &loop);
   void takeFrame(const std::shared_ptr<FrameChannel> &from, wire::Frame frame);
-  asio::awaitable<std::optional<std::int64_t>> announce(Announcement facts);
+  asio::awaitable<std::optional<std::int64_t>>
+  announce(Announcement announcement);
   void vouch(const std::shared_ptr<FrameChannel> &from,
              const wire::Frame &frame);
   void applyEjections(std::map<std::string, Instant> ends);
   void handOnKeys();
-  bool isQuiet();
+  bool isIdle();
 
-  NodeSettings Facts;
+  NodeSettings Config;
   std::int64_t BootId = wallMicros();
   Metrics Counters;
   Loop ControlLoop;
   std::vector<std::unique_ptr<Loop>> Traffic;
-  std::unique_ptr<Control> Brain;
+  std::unique_ptr<Control> NodeControl;
   std::unique_ptr<GateService> Gate;
   std::vector<std::unique_ptr<Entry>> Entries;
   std::unique_ptr<KeyService> Keys;
   std::unique_ptr<RevokeRelay> Relay;
   std::map<std::string, Instant> Ejected;
   std::unique_ptr<LinkServer> Server;
-  std::unique_ptr<HttpServer> Callers;
+  std::unique_ptr<HttpServer> CallerHttp;
   std::unique_ptr<AdminFront> Admin;
   std::unique_ptr<HttpServer> AdminHttp;
   std::unique_ptr<HttpServer> ReadyHttp;
@@ -101,25 +102,25 @@
   std::atomic<bool> IsLeaving = false;
 };
 
-Node::Parts::Parts(NodeSettings settings) : Facts(std::move(settings)) {
-  for (int i = 0; i < Facts.TrafficThreads; ++i)
+Node::Impl::Impl(NodeSettings settings) : Config(std::move(settings)) {
+  for (int i = 0; i < Config.TrafficThreads; ++i)
     Traffic.push_back(std::make_unique<Loop>());
-  if (!Facts.Platform.empty()) {
-    Platform = Registry<PlatformAdapter>::instance().find(Facts.Platform);
-    Facts = Platform->FitSettings(std::move(Facts));
+  if (!Config.Platform.empty()) {
+    Platform = Registry<PlatformAdapter>::instance().find(Config.Platform);
+    Config = Platform->AdaptSettings(std::move(Config));
     Dialect = Platform->Dialect();
   }
   asio::io_context &control = ControlLoop.Io;
   asio::any_io_executor gateThread = Traffic[0]->Io.get_executor();
 
-  Brain = std::make_unique<Control>(
-      control, Facts, BootId, Counters,
+  NodeControl = std::make_unique<Control>(
+      control, Config, BootId, Counters,
       Control::Events{
           [this](FleetViewPtr view) { applyView(view); },
           [this] {
             IsReady = true;
-            if (!Facts.AcceptsBeforeReady)
-              asio::post(Traffic[0]->Io, [this] { Callers->start(); });
+            if (!Config.AcceptsBeforeReady)
+              asio::post(Traffic[0]->Io, [this] { CallerHttp->start(); });
             logEvent(LogLevel::Info, "ready", nlohmann::json::object());
           },
           [this](std::map<std::string, Instant> ends) {
@@ -132,32 +133,33 @@
           }});
 
   if (Platform)
-    Brain->usePlatform(*Platform);
+    NodeControl->usePlatform(*Platform);
 
   GateService::Events gateEvents;
   gateEvents.OnEndpoints = [this](std::vector<EndpointRecord> endpoints,
                                   std::vector<DepartedRecord> departed) {
     asio::post(ControlLoop.Io, [this, it = std::move(endpoints),
                                 gone = std::move(departed)]() mutable {
-      Brain->setEndpoints(std::move(it), std::move(gone));
+      NodeControl->setEndpoints(std::move(it), std::move(gone));
     });
   };
   gateEvents.OnEjection = [this](EjectionAction action) {
-    asio::post(ControlLoop.Io,
-               [this, it = std::move(action)] { Brain->wantEjection(it); });
+    asio::post(ControlLoop.Io, [this, it = std::move(action)] {
+      NodeControl->updateEjectionLease(it);
+    });
   };
   gateEvents.OnCrash = [this](std::uint64_t fingerprint, CrashRecord record) {
     asio::post(ControlLoop.Io, [this, fingerprint, record] {
-      Brain->noteCrash(fingerprint, record);
+      NodeControl->noteCrash(fingerprint, record);
     });
   };
-  Gate = std::make_unique<GateService>(gateThread, Facts, BootId, Dialect,
+  Gate = std::make_unique<GateService>(gateThread, Config, BootId, Dialect,
                                        Counters, std::move(gateEvents));
 
   std::vector<HttpServer::Worker> lanes;
   for (std::size_t i = 0; i < Traffic.size(); ++i) {
     Entries.push_back(std::make_unique<Entry>(
-        Traffic[i]->Io.get_executor(), Facts, BootId, i, Dialect, Counters));
+        Traffic[i]->Io.get_executor(), Config, BootId, i, Dialect, Counters));
     connectLocal(*Entries.back(), *Traffic[i]);
     lanes.push_back(
         {Traffic[i]->Io.get_executor(),
@@ -167,19 +169,19 @@
          }});
   }
   Keys = std::make_unique<KeyService>(
-      gateThread, LeaseHolder{Facts.Node, BootId}, Entries[0]->links());
+      gateThread, LeaseHolder{Config.Node, BootId}, Entries[0]->links());
   Relay = std::make_unique<RevokeRelay>(gateThread, Entries[0]->links());
   Server = std::make_unique<LinkServer>(
-      gateThread, Facts.FleetAddress,
-      makeHello(Facts.Node, BootId, Facts.DataCentre), Counters.traffic(),
+      gateThread, Config.FleetAddress,
+      makeHello(Config.Node, BootId, Config.DataCentre), Counters.traffic(),
       [this](const std::shared_ptr<FrameChannel> &from, wire::Frame frame) {
         takeFrame(from, std::move(frame));
       });
-  Callers = std::make_unique<HttpServer>(gateThread, Facts.HttpAddress,
-                                         std::move(lanes), faultAnswer);
+  CallerHttp = std::make_unique<HttpServer>(
+      gateThread, Config.HttpAddress, std::move(lanes), rejectedRequestAnswer);
   AdminFront::Events adminEvents;
-  adminEvents.OnAnnounce = [this](Announcement facts) {
-    return announce(std::move(facts));
+  adminEvents.OnAnnounce = [this](Announcement announcement) {
+    return announce(std::move(announcement));
   };
   adminEvents.OnWithdraw = [this](std::string name) {
     Gate->withdrawEndpoint(name);
@@ -190,7 +192,7 @@
   adminEvents.ReportGate = [this] { return Gate->report(); };
   if (Platform)
     adminEvents.ParseMessage = Platform->ParseEndpointMessage;
-  Admin = std::make_unique<AdminFront>(control, *Brain, Counters,
+  Admin = std::make_unique<AdminFront>(control, *NodeControl, Counters,
                                        std::move(adminEvents));
   std::vector<HttpServer::Worker> adminLanes{
       {gateThread,
@@ -198,30 +200,32 @@
          return Admin->serve(std::move(request));
        },
        false}};
-  AdminHttp = std::make_unique<HttpServer>(gateThread, Facts.AdminAddress,
-                                           std::move(adminLanes), faultAnswer);
-  if (!Facts.MetricsAddress.empty())
+  AdminHttp = std::make_unique<HttpServer>(gateThread, Config.AdminAddress,
+                                           std::move(adminLanes),
+                                           rejectedRequestAnswer);
+  if (!Config.MetricsAddress.empty())
     MetricsHttp = std::make_unique<HttpServer>(
-        gateThread, Facts.MetricsAddress,
+        gateThread, Config.MetricsAddress,
         std::vector<HttpServer::Worker>{
             {gateThread,
              [this](HttpRequest request, std::shared_ptr<CallScope>) {
                return Admin->serveMetrics(std::move(request));
              },
              false}},
-        faultAnswer);
-  if (Facts.ReadyAddress.empty())
+        rejectedRequestAnswer);
+  if (Config.ReadyAddress.empty())
     return;
   std::vector<HttpServer::Worker> readyLanes{
       {gateThread,
        [this](HttpRequest, std::shared_ptr<CallScope>)
            -> asio::awaitable<HttpResponse> { co_return readiness(); },
        false}};
-  ReadyHttp = std::make_unique<HttpServer>(gateThread, Facts.ReadyAddress,
-                                           std::move(readyLanes), faultAnswer);
+  ReadyHttp = std::make_unique<HttpServer>(gateThread, Config.ReadyAddress,
+                                           std::move(readyLanes),
+                                           rejectedRequestAnswer);
 }
 
-HttpResponse Node::Parts::readiness() const {
+HttpResponse Node::Impl::readiness() const {
   constexpr int ok = 200;
   constexpr int unavailable = 503;
   HttpResponse answer;
@@ -229,15 +233,16 @@
   return answer;
 }
 
-/// Returns once no more requests go to an endpoint that has left. Called on the
-/// gate's thread, as announce() is.
-asio::awaitable<bool> Node::Parts::depart(std::string endpoint) {
+/// Returns once no more requests are sent to an endpoint that has left. Called
+/// on the gate's thread, like announce().
+asio::awaitable<bool> Node::Impl::depart(std::string endpoint) {
   Gate->withdrawEndpoint(endpoint);
   co_return true;
 }
 
-/// An entry reaches the gate of its own node by a direct call.
-void Node::Parts::connectLocal(Entry &entry, Loop &loop) {
+/// Connects an entry to the gate of its own node by in-process channels instead
+/// of a link.
+void Node::Impl::connectLocal(Entry &entry, Loop &loop) {
   auto holder = std::make_shared<std::shared_ptr<GateClient>>();
   auto toEntry = std::make_shared<LocalChannel>(
       loop.Io.get_executor(),
@@ -247,11 +252,11 @@
         takeFrame(toEntry, std::move(frame));
       });
   *holder = std::make_shared<GateClient>(toGate);
-  entry.links().setLocal(Facts.Node, *holder);
+  entry.links().setLocal(Config.Node, *holder);
 }
 
-void Node::Parts::takeFrame(const std::shared_ptr<FrameChannel> &from,
-                            wire::Frame frame) {
+void Node::Impl::takeFrame(const std::shared_ptr<FrameChannel> &from,
+                           wire::Frame frame) {
   bool isVouch = frame.__isset.keyRequest &&
                  frame.keyRequest.operation == wire::KeyOperation::VOUCH;
   if (isVouch)
@@ -265,19 +270,19 @@
   asio::post(ControlLoop.Io, [this, from, stream = frame.stream] {
     wire::Frame reply;
     reply.stream = stream;
-    reply.__set_snapshot(Brain->snapshot());
+    reply.__set_snapshot(NodeControl->snapshot());
     asio::post(Traffic[0]->Io, [from, it = std::move(reply)]() mutable {
       from->send(std::move(it));
     });
   });
 }
 
-void Node::Parts::vouch(const std::shared_ptr<FrameChannel> &from,
-                        const wire::Frame &frame) {
+void Node::Impl::vouch(const std::shared_ptr<FrameChannel> &from,
+                       const wire::Frame &frame) {
   LeaseHolder keeper{frame.keyRequest.record.requestId,
                      frame.keyRequest.record.fingerprint};
   asio::post(ControlLoop.Io, [this, from, keeper, stream = frame.stream] {
-    bool isPromised = Brain->vouch(keeper);
+    bool isPromised = NodeControl->vouch(keeper);
     wire::Frame reply;
     reply.stream = stream;
     reply.keyReply.verdict =
@@ -289,8 +294,9 @@
   });
 }
 
-/// The gate hears the end of each lease, and of each that is no longer held.
-void Node::Parts::applyEjections(std::map<std::string, Instant> ends) {
+/// Passes the end of each ejection lease to the gate, and no end for those that
+/// are no longer held.
+void Node::Impl::applyEjections(std::map<std::string, Instant> ends) {
   asio::post(Traffic[0]->Io, [this, it = std::move(ends)] {
     for (const auto &[endpoint, end] : it)
       Gate->applyEjection(endpoint, end);
@@ -302,14 +308,14 @@
 }
 
 asio::awaitable<std::optional<std::int64_t>>
-Node::Parts::announce(Announcement facts) {
-  if (IsLeaving && !facts.IsDraining)
+Node::Impl::announce(Announcement announcement) {
+  if (IsLeaving && !announcement.IsDraining)
     co_return std::nullopt;
-  co_return Gate->announceEndpoint(facts);
+  co_return Gate->announceEndpoint(announcement);
 }
 
-void Node::Parts::applyView(const FleetViewPtr &view) {
-  HttpLimits &limits = Callers->limits();
+void Node::Impl::applyView(const FleetViewPtr &view) {
+  HttpLimits &limits = CallerHttp->limits();
   limits.HeaderBytes = std::uint32_t(view->Root.MaxHeaderBytes);
   limits.BodyBytes = std::uint64_t(view->Root.MaxBodyBytes);
   limits.HeaderTimeoutMs = view->Root.HeaderTimeout.count();
@@ -324,22 +330,22 @@
                [this, i, view] { Entries[i]->applyView(view); });
 }
 
-absl::Status Node::Parts::start() {
+absl::Status Node::Impl::start() {
   absl::Status status = Server->start();
   if (status.ok())
-    status = Callers->listen();
+    status = CallerHttp->listen();
   if (status.ok())
     status = AdminHttp->listen();
   if (status.ok() && ReadyHttp)
     status = ReadyHttp->listen();
   if (status.ok())
-    status = Brain->start();
+    status = NodeControl->start();
   if (!status.ok())
     return status;
   AdminHttp->start();
   startMetrics();
-  if (Facts.AcceptsBeforeReady)
-    Callers->start();
+  if (Config.AcceptsBeforeReady)
+    CallerHttp->start();
   if (ReadyHttp)
     ReadyHttp->start();
   Gate->start();
@@ -350,14 +356,15 @@
   ControlLoop.start();
   logEvent(LogLevel::Info, "started",
            {{"boot_id", BootId},
-            {"http", Facts.HttpAddress},
-            {"fleet", Facts.FleetAddress},
-            {"admin", Facts.AdminAddress}});
+            {"http", Config.HttpAddress},
+            {"fleet", Config.FleetAddress},
+            {"admin", Config.AdminAddress}});
   return absl::OkStatus();
 }
 
-/// A node without metrics still serves.
-void Node::Parts::startMetrics() {
+/// Starts the metrics listener. A failure is only logged: the node serves
+/// requests without it.
+void Node::Impl::startMetrics() {
   if (!MetricsHttp)
     return;
   absl::Status status = MetricsHttp->listen();
@@ -368,51 +375,52 @@
              {{"reason", std::string(status.message())}});
 }
 
-bool Node::Parts::isQuiet() {
-  bool isGateQuiet =
-      Traffic[0]->call([this] { return Gate->idle() && !Callers->isBusy(); });
+bool Node::Impl::isIdle() {
+  bool isGateIdle = Traffic[0]->call(
+      [this] { return Gate->idle() && !CallerHttp->isBusy(); });
   std::size_t inFlight = 0;
   for (std::size_t i = 0; i < Entries.size(); ++i)
     inFlight += Traffic[i]->call([this, i] { return Entries[i]->inFlight(); });
-  return isGateQuiet && inFlight == 0;
+  return isGateIdle && inFlight == 0;
 }
 
-/// Gives the kept keys to their heirs, then the keeper lease back.
-void Node::Parts::handOnKeys() {
+/// Copies the key records to their successors, then releases the keeper lease.
+void Node::Impl::handOnKeys() {
   auto handOn = [](KeyService *keys) -> asio::awaitable<bool> {
-    co_return co_await keys->handOn(HandOnLimit);
+    co_return co_await keys->handOn(HandOnTimeout);
   };
   auto resign = [](Control *control) -> asio::awaitable<bool> {
-    co_return co_await control->resign(HandOnLimit);
+    co_return co_await control->resign(HandOnTimeout);
   };
   bool isComplete =
       asio::co_spawn(Traffic[0]->Io, handOn(Keys.get()), asio::use_future)
           .get();
   if (isComplete)
-    asio::co_spawn(ControlLoop.Io, resign(Brain.get()), asio::use_future).get();
+    asio::co_spawn(ControlLoop.Io, resign(NodeControl.get()), asio::use_future)
+        .get();
 }
 
-// Called on the thread that also stops the node.
-bool Node::Parts::reload(const NodeSettings &read) {
-  NodeSettings settings = Platform ? Platform->FitSettings(read) : read;
-  Facts.DrainLimit = settings.DrainLimit;
-  Facts.Linger = settings.Linger;
-  if (settings.LogLevel != Facts.LogLevel)
+/// Runs on the same thread as stop(), so DrainLimit and Linger need no lock.
+bool Node::Impl::reload(const NodeSettings &read) {
+  NodeSettings settings = Platform ? Platform->AdaptSettings(read) : read;
+  Config.DrainLimit = settings.DrainLimit;
+  Config.Linger = settings.Linger;
+  if (settings.LogLevel != Config.LogLevel)
     setLogLevel(settings.LogLevel);
-  Facts.LogLevel = settings.LogLevel;
-  return Facts == settings;
+  Config.LogLevel = settings.LogLevel;
+  return Config == settings;
 }
 
-bool Node::Parts::stop() {
+bool Node::Impl::stop() {
   Instant begin = now();
   logEvent(LogLevel::Info, "stopping", nlohmann::json::object());
   ControlLoop.call([this] {
     IsLeaving = true;
-    Brain->leave();
+    NodeControl->leave();
     return true;
   });
   Traffic[0]->call([this] {
-    Callers->beginDrain();
+    CallerHttp->beginDrain();
     Gate->drainNow();
     return true;
   });
@@ -425,19 +433,19 @@
     handOnKeys();
   bool isClean = false;
   bool isAccepting = true;
-  Instant end = begin + Facts.Linger + Facts.DrainLimit;
+  Instant end = begin + Config.Linger + Config.DrainLimit;
   while (!isClean && now() < end) {
     pauseFor(StopPoll);
-    bool hasLingered = now() - begin >= Facts.Linger;
+    bool hasLingered = now() - begin >= Config.Linger;
     if (hasLingered && std::exchange(isAccepting, false))
       Traffic[0]->call([this] {
-        Callers->stop();
+        CallerHttp->stop();
         return true;
       });
     for (std::size_t i = 0; i < Entries.size(); ++i)
       asio::post(Traffic[i]->Io,
                  [this, i, end] { Entries[i]->enforceShutdownDeadline(end); });
-    isClean = hasLingered && isQuiet();
+    isClean = hasLingered && isIdle();
   }
   for (auto &loop : Traffic)
     loop->stop();
@@ -447,16 +455,16 @@
 }
 
 Node::Node(NodeSettings settings)
-    : All(std::make_unique<Parts>(std::move(settings))) {}
+    : Pimpl(std::make_unique<Impl>(std::move(settings))) {}
 
 Node::~Node() = default;
 
-absl::Status Node::start() { return All->start(); }
+absl::Status Node::start() { return Pimpl->start(); }
 
 bool Node::reload(const NodeSettings &settings) {
-  return All->reload(settings);
+  return Pimpl->reload(settings);
 }
 
-bool Node::stop() { return All->stop(); }
+bool Node::stop() { return Pimpl->stop(); }
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/node/nodesettings.cpp
+++ b/src/libfleet/node/nodesettings.cpp
@@ -15,15 +15,15 @@
 
 using nlohmann::json;
 
-constexpr int MostTrafficThreads = 64;
-constexpr int MostSettingsReaders = 1'000;
-constexpr int LeastRetentionMs = 1'000;
-constexpr int MostRetentionMs = 2'000'000'000;
-constexpr int MostDrainMs = 3'600'000;
+constexpr int MaxTrafficThreads = 64;
+constexpr int MaxSettingsReaders = 1'000;
+constexpr int MinRetentionMs = 1'000;
+constexpr int MaxRetentionMs = 2'000'000'000;
+constexpr int MaxDrainMs = 3'600'000;
 constexpr std::array<std::string_view, 4> LogLevels = {"debug", "info", "warn",
                                                        "error"};
 
-/// Reads the keys of one object and notes what is wrong with them.
+/// Reads the keys of one JSON object and reports their faults.
 class ObjectReader {
 public:
   ObjectReader(const json &object, std::string path,
@@ -31,11 +31,11 @@
       : Object(object), Path(std::move(path)), Faults(faults) {}
 
   void readString(const char *key, std::string &out, bool isRequired) {
-    const json *value = take(key, isRequired);
+    const json *value = findKey(key, isRequired);
     if (!value)
       return;
     if (!value->is_string() || value->get<std::string>().empty())
-      return fault(key, "must be a text, not " + value->dump());
+      return fault(key, "must be a non-empty string, not " + value->dump());
     out = value->get<std::string>();
   }
 
@@ -47,7 +47,7 @@
   }
 
   void readInteger(const char *key, int &out, int lowest, int highest) {
-    const json *value = take(key, false);
+    const json *value = findKey(key, false);
     if (!value)
       return;
     if (!value->is_number_integer() || value->get<std::int64_t>() < lowest ||
@@ -59,7 +59,7 @@
   }
 
   void readBoolean(const char *key, bool &out) {
-    const json *value = take(key, false);
+    const json *value = findKey(key, false);
     if (!value)
       return;
     if (!value->is_boolean())
@@ -68,7 +68,7 @@
   }
 
   void readAddresses(const char *key, std::vector<std::string> &out) {
-    const json *value = take(key, false);
+    const json *value = findKey(key, false);
     if (!value)
       return;
     if (!value->is_array())
@@ -82,7 +82,7 @@
   }
 
   void readNumbers(const char *key, std::map<std::string, double> &out) {
-    const json *value = take(key, false);
+    const json *value = findKey(key, false);
     if (!value)
       return;
     bool isTable =
@@ -95,7 +95,7 @@
       out[name] = it.is_boolean() ? it.get<bool>() : it.get<double>();
   }
 
-  const json *take(const char *key, bool isRequired) {
+  const json *findKey(const char *key, bool isRequired) {
     Known.emplace_back(key);
     auto it = Object.find(key);
     if (it != Object.end())
@@ -139,8 +139,8 @@
   reader.readAddress("address", settings.LogAddress, true);
   reader.readString("prefix", settings.StreamPrefix, false);
   int retentionMs = int(settings.LogRetention.count());
-  reader.readInteger("retention_ms", retentionMs, LeastRetentionMs,
-                     MostRetentionMs);
+  reader.readInteger("retention_ms", retentionMs, MinRetentionMs,
+                     MaxRetentionMs);
   settings.LogRetention = Millis(retentionMs);
   reader.reportUnknown();
 }
@@ -151,14 +151,14 @@
   reader.readString("adapter", settings.Platform, true);
   reader.readAddress("address", settings.PlatformAddress, true);
   reader.readNumbers("bounds", settings.PlatformBounds);
-  if (const json *defaults = reader.take("root_defaults", false)) {
+  if (const json *defaults = reader.findKey("root_defaults", false)) {
     for (const SettingsFault &it : checkSettingsValue("/", *defaults))
       reader.fault("root_defaults", it.Where + " " + it.Reason);
     settings.RootDefaults = *defaults;
   }
   if (!settings.Platform.empty() &&
       !Registry<PlatformAdapter>::instance().find(settings.Platform))
-    reader.fault("adapter", "no adapter is called " + settings.Platform);
+    reader.fault("adapter", "unknown adapter " + settings.Platform);
   reader.reportUnknown();
 }
 
@@ -170,34 +170,34 @@
   reader.readAddress("advertise", settings.AdvertisedAddress, false);
   reader.readAddresses("seeds", settings.Seeds);
   reader.readInteger("traffic_threads", settings.TrafficThreads, 1,
-                     MostTrafficThreads);
+                     MaxTrafficThreads);
   int drainMs = int(settings.DrainLimit.count());
-  reader.readInteger("drain_limit_ms", drainMs, 0, MostDrainMs);
+  reader.readInteger("drain_limit_ms", drainMs, 0, MaxDrainMs);
   settings.DrainLimit = Millis(drainMs);
   int lingerMs = int(settings.Linger.count());
-  reader.readInteger("linger_ms", lingerMs, 0, MostDrainMs);
+  reader.readInteger("linger_ms", lingerMs, 0, MaxDrainMs);
   settings.Linger = Millis(lingerMs);
   int announcementMs = int(settings.AnnouncementLimit.count());
-  reader.readInteger("announcement_limit_ms", announcementMs, 100, MostDrainMs);
+  reader.readInteger("announcement_limit_ms", announcementMs, 100, MaxDrainMs);
   settings.AnnouncementLimit = Millis(announcementMs);
   reader.readString("service", settings.Service, false);
   reader.readBoolean("accept_before_ready", settings.AcceptsBeforeReady);
   reader.readInteger("settings_readers", settings.SettingsReaders, 0,
-                     MostSettingsReaders);
+                     MaxSettingsReaders);
   reader.readBoolean("keep_standings_near", settings.KeepsStandingsNear);
   reader.readString("log_level", settings.LogLevel, false);
   if (std::ranges::find(LogLevels, settings.LogLevel) == LogLevels.end())
     reader.fault("log_level", "must be debug, info, warn or error");
-  const json *listen = reader.take("listen", true);
-  const json *platform = reader.take("platform", false);
-  const json *log = reader.take("log", platform == nullptr);
+  const json *listen = reader.findKey("listen", true);
+  const json *platform = reader.findKey("platform", false);
+  const json *log = reader.findKey("log", platform == nullptr);
   reader.reportUnknown();
   if (listen && listen->is_object())
     readListen(*listen, settings, faults);
   else if (listen)
     reader.fault("listen", "must be an object");
   if (platform && log)
-    reader.fault("platform", "stands beside log; only one of them may");
+    reader.fault("platform", "cannot be combined with log");
   if (platform && platform->is_object())
     readPlatform(*platform, settings, faults);
   else if (platform)
--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -11,18 +11,19 @@
 namespace {
 
 constexpr Millis PollWait = std::chrono::seconds(5);
-constexpr Millis FirstBackoff = std::chrono::milliseconds(200);
-constexpr Millis MostBackoff = std::chrono::seconds(2);
+constexpr Millis InitialBackoff = std::chrono::milliseconds(200);
+constexpr Millis MaxBackoff = std::chrono::seconds(2);
 constexpr Millis VerdictPoll = std::chrono::milliseconds(10);
 constexpr Millis RefreshPeriod = std::chrono::milliseconds(500);
 
-/// Each place in the refresh order waits this much longer before it writes.
-constexpr Millis RefreshStep = std::chrono::milliseconds(500);
+/// Delay per rank before a node rewrites a record, so that normally only the
+/// first node in rank does.
+constexpr Millis RefreshRankDelay = std::chrono::milliseconds(500);
 
-/// Records in the oldest quarter of what the log keeps are written anew, and
-/// those that have stood for half the time that it keeps them.
-constexpr std::int64_t RefreshedPart = 4;
-constexpr std::int64_t RefreshedAge = 2;
+/// A record is rewritten once it is in the oldest quarter of the offsets that
+/// the log retains, or older than half the retention time.
+constexpr std::int64_t RefreshOffsetDivisor = 4;
+constexpr std::int64_t RefreshAgeDivisor = 2;
 
 } // namespace
 
@@ -33,13 +34,14 @@
       Reader(io.get_executor(), logAddress, stream), Counters(metrics),
       Handlers(std::move(events)) {}
 
-void SettingsService::followDocuments(std::unique_ptr<SettingsSource> source) {
+void SettingsService::useDocumentSource(
+    std::unique_ptr<SettingsSource> source) {
   Source = std::move(source);
 }
 
 void SettingsService::start() {
   if (Source) {
-    asio::co_spawn(Io, takeDocuments(), asio::detached);
+    asio::co_spawn(Io, pollDocuments(), asio::detached);
     return;
   }
   asio::co_spawn(Io, follow(), asio::detached);
@@ -49,14 +51,14 @@
 void SettingsService::noteReachable(bool isReachable) {
   IsReachable = isReachable;
   if (isReachable)
-    HeardAt = now();
+    SourceAnsweredAt = now();
 }
 
-/// Notes when the version in force changed.
+/// Records when the version in force changed and calls OnChange.
 void SettingsService::reportChange() {
-  if (ReportedNext != Folded.Next) {
-    ReportedNext = Folded.Next;
-    TakenAt = now();
+  if (ReportedNext != FoldedState.Next) {
+    ReportedNext = FoldedState.Next;
+    InForceSince = now();
   }
   Handlers.OnChange();
 }
@@ -67,15 +69,15 @@
 }
 
 asio::awaitable<void> SettingsService::follow() {
-  Millis backoff = FirstBackoff;
+  Millis backoff = InitialBackoff;
   Loaded = co_await Handlers.FetchSnapshot();
   while (true) {
     Millis wait = Loaded ? PollWait : Millis(0);
-    ReadResult result = co_await Reader.read(Folded.Next, wait);
+    ReadResult result = co_await Reader.read(FoldedState.Next, wait);
     noteReachable(result.Status == LogStatus::Done ||
                   result.Status == LogStatus::Expired);
     if (result.Status == LogStatus::Done) {
-      backoff = FirstBackoff;
+      backoff = InitialBackoff;
       FirstKept = result.First;
       bool isFirst = !Loaded;
       Loaded = true;
@@ -85,7 +87,7 @@
       continue;
     }
     if (result.Status == LogStatus::Expired) {
-      co_await takeExpired(result.First);
+      co_await handleExpiredRecords(result.First);
       continue;
     }
     Counters.countLogFailure("read");
@@ -94,24 +96,24 @@
     Loaded = Loaded || hasPeerState;
     co_await pause(result.Status == LogStatus::Overloaded ? result.RetryAfter
                                                           : backoff);
-    backoff = std::min(backoff * 2, MostBackoff);
+    backoff = std::min(backoff * 2, MaxBackoff);
   }
 }
 
-asio::awaitable<void> SettingsService::takeDocuments() {
-  Millis backoff = FirstBackoff;
+asio::awaitable<void> SettingsService::pollDocuments() {
+  Millis backoff = InitialBackoff;
   while (true) {
     if (Loaded)
-      co_await Handlers.AwaitTurn();
+      co_await Handlers.AwaitPollDue();
     SettingsUpdate update = co_await Source->next();
     if (update.IsReachable != IsReachable)
       logEvent(LogLevel::Warn,
                update.IsReachable ? "store_regained" : "store_lost",
-               {{"settings_next", Folded.Next}});
+               {{"settings_next", FoldedState.Next}});
     noteReachable(update.IsReachable);
-    takeDocument(update);
+    applyDocument(update);
     if (IsReachable && Loaded) {
-      backoff = FirstBackoff;
+      backoff = InitialBackoff;
       continue;
     }
     if (!IsReachable) {
@@ -119,22 +121,22 @@
       co_await Handlers.FetchSnapshot();
     }
     co_await pause(backoff);
-    backoff = std::min(backoff * 2, MostBackoff);
+    backoff = std::min(backoff * 2, MaxBackoff);
   }
 }
 
-void SettingsService::takeDocument(const SettingsUpdate &update) {
+void SettingsService::applyDocument(const SettingsUpdate &update) {
   if (!update.Faults.empty()) {
     Refused = {update.RefusedVersion, update.Faults, now()};
     Counters.countSettings("rejected");
     logEvent(LogLevel::Warn, "settings_rejected",
              {{"version", update.RefusedVersion},
-              {"in_force", Folded.Next},
+              {"in_force", FoldedState.Next},
               {"where", update.Faults.front().Where},
               {"reason", update.Faults.front().Reason},
               {"faults", update.Faults.size()}});
   }
-  if (!update.Document || !replaceTree(Folded, *update.Document))
+  if (!update.Document || !replaceTree(FoldedState, *update.Document))
     return;
   Loaded = true;
   Refused.reset();
@@ -145,20 +147,22 @@
   reportChange();
 }
 
-/// Records have expired before this node read them: peers may know them.
-asio::awaitable<void> SettingsService::takeExpired(std::int64_t first) {
+/// Records expired before this node read them. Fetches the settings from a peer
+/// and skips the expired offsets only if no peer has them.
+asio::awaitable<void>
+SettingsService::handleExpiredRecords(std::int64_t first) {
   FirstKept = first;
   bool hasPeerState = co_await Handlers.FetchSnapshot();
-  if (hasPeerState && Folded.Next >= first)
+  if (hasPeerState && FoldedState.Next >= first)
     co_return;
   logEvent(LogLevel::Warn, "log_expired",
-           {{"stream", Stream}, {"first", first}, {"next", Folded.Next}});
-  skipTo(Folded, first);
+           {{"stream", Stream}, {"first", first}, {"next", FoldedState.Next}});
+  skipTo(FoldedState, first);
 }
 
 void SettingsService::fold(const std::vector<LogRecord> &records) {
   for (const LogRecord &record : records) {
-    FoldResult result = foldRecord(Folded, record.Offset, record.Data);
+    FoldResult result = foldRecord(FoldedState, record.Offset, record.Data);
     if (!result.Rejected.empty()) {
       Counters.countSettings("rejected");
       logEvent(LogLevel::Warn, "settings_rejected",
@@ -179,8 +183,8 @@
 }
 
 void SettingsService::merge(const SettingsState &peer) {
-  bool isChanged =
-      Source ? adoptSnapshot(Folded, peer) : mergeSnapshot(Folded, peer);
+  bool isChanged = Source ? adoptSnapshot(FoldedState, peer)
+                          : mergeSnapshot(FoldedState, peer);
   bool isFirst = !Loaded;
   Loaded = true;
   if (isChanged || isFirst)
@@ -193,20 +197,20 @@
   LogClient writer(Io.get_executor(), LogAddress, Stream);
   change.AtMs = wallMicros() / 1'000;
   std::string data = encodeChange(change);
-  Millis backoff = FirstBackoff;
+  Millis backoff = InitialBackoff;
   while (now() < until) {
     AppendResult result = co_await writer.append(data);
     if (result.Status == LogStatus::Done)
       break;
     Counters.countLogFailure("append");
-    if (Folded.Verdicts.contains(change.Id))
+    if (FoldedState.Verdicts.contains(change.Id))
       break;
     co_await pause(std::min(backoff, toMillis(until - now())));
-    backoff = std::min(backoff * 2, MostBackoff);
+    backoff = std::min(backoff * 2, MaxBackoff);
   }
   while (now() < until) {
-    auto it = Folded.Verdicts.find(change.Id);
-    if (it != Folded.Verdicts.end())
+    auto it = FoldedState.Verdicts.find(change.Id);
+    if (it != FoldedState.Verdicts.end())
       co_return it->second;
     co_await pause(VerdictPoll);
   }
@@ -216,8 +220,9 @@
 RecordPosition SettingsService::oldestSafe() const {
   RecordPosition place;
   if (FirstKept > 0)
-    place.Offset = FirstKept + (Folded.Next - FirstKept) / RefreshedPart;
-  place.AtMs = wallMicros() / 1'000 - Retention.count() / RefreshedAge;
+    place.Offset =
+        FirstKept + (FoldedState.Next - FirstKept) / RefreshOffsetDivisor;
+  place.AtMs = wallMicros() / 1'000 - Retention.count() / RefreshAgeDivisor;
   return place;
 }
 
@@ -227,19 +232,19 @@
     co_await pause(RefreshPeriod);
     if (!IsReachable)
       continue;
-    auto due = dueRefresh(Folded, oldestSafe());
+    auto due = dueRefresh(FoldedState, oldestSafe());
     if (!due)
       continue;
     std::string what = due->Path + ' ' + std::to_string(due->Revision);
-    co_await pause(RefreshStep * int(Handlers.RefreshRank(what)));
-    auto still = dueRefresh(Folded, oldestSafe());
-    if (!still || still->Path != due->Path)
+    co_await pause(RefreshRankDelay * int(Handlers.RefreshRank(what)));
+    auto stillDue = dueRefresh(FoldedState, oldestSafe());
+    if (!stillDue || stillDue->Path != due->Path)
       continue;
-    still->AtMs = wallMicros() / 1'000;
-    AppendResult result = co_await writer.append(encodeRefresh(*still));
+    stillDue->AtMs = wallMicros() / 1'000;
+    AppendResult result = co_await writer.append(encodeRefresh(*stillDue));
     logEvent(LogLevel::Info, "settings_refresh",
-             {{"path", still->Path},
-              {"revision", still->Revision},
+             {{"path", stillDue->Path},
+              {"revision", stillDue->Revision},
               {"appended", result.Status == LogStatus::Done}});
   }
 }
