--- a/src/libfleet/base/listening.cpp
+++ b/src/libfleet/base/listening.cpp
@@ -4,7 +4,7 @@
 
 namespace hickoryglade::fleet {
 
-absl::Status takeAddress(tcp::acceptor &acceptor, const std::string &address) {
+absl::Status bindAddress(tcp::acceptor &acceptor, const std::string &address) {
   std::optional<Address> parsed = parseAddress(address);
   if (!parsed)
     return absl::InvalidArgumentError("not an address: " + address);
--- a/src/libfleet/base/listening.h
+++ b/src/libfleet/base/listening.h
@@ -10,6 +10,6 @@
 
 /// Opens an acceptor and takes an address "IP:PORT" for it, without listening
 /// yet.
-absl::Status takeAddress(tcp::acceptor &acceptor, const std::string &address);
+absl::Status bindAddress(tcp::acceptor &acceptor, const std::string &address);
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/http/httpfront.cpp
+++ b/src/libfleet/http/httpfront.cpp
@@ -282,7 +282,7 @@
       Lanes(std::move(lanes)), OnFault(std::move(onFault)),
       State(std::make_shared<FrontState>()) {}
 
-absl::Status HttpFront::listen() { return takeAddress(Acceptor, Address); }
+absl::Status HttpFront::listen() { return bindAddress(Acceptor, Address); }
 
 void HttpFront::start() {
   error_code ec;
--- a/src/libfleet/peers/linkserver.cpp
+++ b/src/libfleet/peers/linkserver.cpp
@@ -11,7 +11,7 @@
       Traffic(traffic), Handler(std::move(handler)), Acceptor(ex) {}
 
 absl::Status LinkServer::start() {
-  absl::Status status = takeAddress(Acceptor, Address);
+  absl::Status status = bindAddress(Acceptor, Address);
   if (!status.ok())
     return status;
   error_code ec;
