--- a/src/libfleet/base/loop.cpp
+++ b/src/libfleet/base/loop.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Returns once the executor has been stopped.
-void runAll(asio::io_context &io) {
+void runUntilStopped(asio::io_context &io) {
   while (!io.stopped()) {
     try {
       io.run();
@@ -24,7 +24,7 @@
 } // namespace
 
 void Loop::start() {
-  Runner = std::thread([this] { runAll(Io); });
+  Runner = std::thread([this] { runUntilStopped(Io); });
 }
 
 void Loop::stop() {
