--- a/src/libfleet/reporting/logbudget.cpp
+++ b/src/libfleet/reporting/logbudget.cpp
@@ -8,8 +8,8 @@
 
 /// Lines a second of one event: a node at its usual peak of 400 requests/s
 /// writes each failure and half of the rest.
-constexpr int MostLines = 200;
-constexpr int MostFailureLines = 400;
+constexpr int MaxLinesPerSecond = 200;
+constexpr int MaxFailureLinesPerSecond = 400;
 
 } // namespace
 
@@ -20,7 +20,8 @@
     count.Second = second;
     count.Written = 0;
   }
-  if (count.Written >= (isFailure ? MostFailureLines : MostLines)) {
+  if (count.Written >=
+      (isFailure ? MaxFailureLinesPerSecond : MaxLinesPerSecond)) {
     ++count.Left;
     return false;
   }
