--- a/src/libfleet/reporting/logging.cpp
+++ b/src/libfleet/reporting/logging.cpp
@@ -68,7 +68,7 @@
 std::mutex BudgetGuard;
 LogBudget Budget;
 
-std::int64_t presentSecond() {
+std::int64_t currentSecond() {
   auto since = std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::seconds>(since).count();
 }
@@ -109,7 +109,7 @@
   if (!isLogged(level))
     return;
   std::lock_guard guard(BudgetGuard);
-  std::int64_t second = presentSecond();
+  std::int64_t second = currentSecond();
   reportDropped(second);
   if (Budget.take(std::string(event), level >= LogLevel::Warn, second))
     writeLine(level, event, fields);
