--- a/src/libfleet/reporting/logbudget.cpp
+++ b/src/libfleet/reporting/logbudget.cpp
@@ -13,8 +13,8 @@
 
 } // namespace
 
-bool LogBudget::take(const std::string &event, bool isFailure,
-                     std::int64_t second) {
+bool LogBudget::tryAcquire(const std::string &event, bool isFailure,
+                           std::int64_t second) {
   Count &count = ByEvent[event];
   if (count.Second != second) {
     count.Second = second;
--- a/src/libfleet/reporting/logbudget.h
+++ b/src/libfleet/reporting/logbudget.h
@@ -20,7 +20,8 @@
   };
 
   /// True if the line may be written.
-  bool take(const std::string &event, bool isFailure, std::int64_t second);
+  bool tryAcquire(const std::string &event, bool isFailure,
+                  std::int64_t second);
 
   /// What was left out before a second; each is given once.
   std::vector<Dropped> takeDropped(std::int64_t second);
--- a/src/libfleet/reporting/logging.cpp
+++ b/src/libfleet/reporting/logging.cpp
@@ -111,7 +111,7 @@
   std::lock_guard guard(BudgetGuard);
   std::int64_t second = currentSecond();
   reportDropped(second);
-  if (Budget.take(std::string(event), level >= LogLevel::Warn, second))
+  if (Budget.tryAcquire(std::string(event), level >= LogLevel::Warn, second))
     writeLine(level, event, fields);
 }
 
--- a/tests/logs/test_logs.cpp
+++ b/tests/logs/test_logs.cpp
@@ -22,21 +22,21 @@
   LogBudget budget;
   int written = 0;
   for (int i = 0; i < 1'000; ++i)
-    written += budget.take("route", false, 1);
+    written += budget.tryAcquire("route", false, 1);
   CHECK(written == 200);
-  CHECK(budget.take("problem", true, 1));
+  CHECK(budget.tryAcquire("problem", true, 1));
   CHECK(budget.takeDropped(1).empty());
   CHECK(budget.takeDropped(2) ==
         std::vector<LogBudget::Dropped>{{"route", 800}});
   CHECK(budget.takeDropped(3).empty());
-  CHECK(budget.take("route", false, 2));
+  CHECK(budget.tryAcquire("route", false, 2));
 }
 
 TEST_CASE("failures have the larger budget") {
   LogBudget budget;
   int written = 0;
   for (int i = 0; i < 1'000; ++i)
-    written += budget.take("problem", true, 1);
+    written += budget.tryAcquire("problem", true, 1);
   CHECK(written == 400);
 }
 
