--- a/src/libfleet/reporting/logbudget.cpp
+++ b/src/libfleet/reporting/logbudget.cpp
@@ -22,7 +22,7 @@
   }
   if (count.Written >=
       (isFailure ? MaxFailureLinesPerSecond : MaxLinesPerSecond)) {
-    ++count.Left;
+    ++count.Unreported;
     return false;
   }
   ++count.Written;
@@ -32,8 +32,8 @@
 std::vector<LogBudget::Dropped> LogBudget::takeDropped(std::int64_t second) {
   std::vector<Dropped> all;
   for (auto &[event, count] : ByEvent)
-    if (count.Left > 0 && count.Second < second)
-      all.push_back({event, std::exchange(count.Left, 0)});
+    if (count.Unreported > 0 && count.Second < second)
+      all.push_back({event, std::exchange(count.Unreported, 0)});
   return all;
 }
 
--- a/src/libfleet/reporting/logbudget.h
+++ b/src/libfleet/reporting/logbudget.h
@@ -30,7 +30,7 @@
   struct Count {
     std::int64_t Second = 0;
     int Written = 0;
-    int Left = 0;
+    int Unreported = 0;
   };
 
   std::map<std::string, Count> ByEvent;
