--- a/src/libfleet/reporting/metrics.cpp
+++ b/src/libfleet/reporting/metrics.cpp
@@ -37,7 +37,7 @@
 }
 
 /// Sets a counter that is counted elsewhere; it never falls.
-void raiseTo(prometheus::Counter &counter, double value) {
+void setCounter(prometheus::Counter &counter, double value) {
   counter.Increment(std::max(value - counter.Value(), 0.0));
 }
 
@@ -192,15 +192,15 @@
   for (std::size_t i = 0; i < TrafficCauses; ++i)
     for (bool isFar : {false, true}) {
       auto cause = static_cast<TrafficCause>(i);
-      raiseTo(All->Traffic.Add({{"cause", std::string(toString(cause))},
-                                {"scope", isFar ? "far" : "near"}}),
-              double(Traffic.bytes(cause, isFar)));
+      setCounter(All->Traffic.Add({{"cause", std::string(toString(cause))},
+                                   {"scope", isFar ? "far" : "near"}}),
+                 double(Traffic.bytes(cause, isFar)));
     }
   rusage used{};
   if (getrusage(RUSAGE_SELF, &used) == 0) {
     constexpr double bytesPerUnit = 1'024;
-    raiseTo(All->ProcessorTime,
-            secondsOf(used.ru_utime) + secondsOf(used.ru_stime));
+    setCounter(All->ProcessorTime,
+               secondsOf(used.ru_utime) + secondsOf(used.ru_stime));
     All->Memory.Set(double(used.ru_maxrss) * bytesPerUnit);
   }
   return prometheus::TextSerializer().Serialize(Registry->Collect());
