--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -236,7 +236,7 @@
                      inquiry.Deadline - now(), inquiry.Cost.Expected,
                      inquiry.Runs, inquiry.Way.Policy.MaxAttempts},
                     budget);
-    Counters.countRetry(std::string(answer.Reason));
+    Counters.countRetryDecision(std::string(answer.Reason));
     logEvent(LogLevel::Warn, "attempt_failed",
              {{"request", inquiry.Id},
               {"attempt", number},
--- a/src/libfleet/reporting/metrics.cpp
+++ b/src/libfleet/reporting/metrics.cpp
@@ -166,7 +166,7 @@
   All->Errors.Add({{"kind", kind}}).Increment();
 }
 
-void Metrics::countRetry(const std::string &reason) {
+void Metrics::countRetryDecision(const std::string &reason) {
   All->Retries.Add({{"reason", reason}}).Increment();
 }
 
--- a/src/libfleet/reporting/metrics.h
+++ b/src/libfleet/reporting/metrics.h
@@ -39,7 +39,7 @@
   void countAnswer(const std::string &service, int status, double seconds);
   void observeStage(const std::string &service, Stage stage, Micros time);
   void countError(const std::string &kind);
-  void countRetry(const std::string &reason);
+  void countRetryDecision(const std::string &reason);
   void countStanding(const std::string &standing);
   void countSettings(const std::string &outcome);
   void countLogFailure(const std::string &what);
