--- a/src/libfleet/gate/gateservice.cpp
+++ b/src/libfleet/gate/gateservice.cpp
@@ -308,7 +308,7 @@
            {{"endpoint", action.Endpoint},
             {"standing", toString(action.State)},
             {"reason", action.Reason}});
-  Counters.countStanding(std::string(toString(action.State)));
+  Counters.countStandingChange(std::string(toString(action.State)));
   if (action.State == Standing::Suspect) {
     auto it = Kernel.Endpoints.find(action.Endpoint);
     if (it != Kernel.Endpoints.end())
--- a/src/libfleet/reporting/metrics.cpp
+++ b/src/libfleet/reporting/metrics.cpp
@@ -170,7 +170,7 @@
   All->Retries.Add({{"reason", reason}}).Increment();
 }
 
-void Metrics::countStanding(const std::string &standing) {
+void Metrics::countStandingChange(const std::string &standing) {
   All->Standings.Add({{"standing", standing}}).Increment();
 }
 
--- a/src/libfleet/reporting/metrics.h
+++ b/src/libfleet/reporting/metrics.h
@@ -40,7 +40,7 @@
   void observeStage(const std::string &service, Stage stage, Micros time);
   void countError(const std::string &kind);
   void countRetryDecision(const std::string &reason);
-  void countStanding(const std::string &standing);
+  void countStandingChange(const std::string &standing);
   void countSettings(const std::string &outcome);
   void countLogFailure(const std::string &what);
   TrafficCounters &traffic() { return Traffic; }
