--- a/src/libfleet/reporting/metrics.cpp
+++ b/src/libfleet/reporting/metrics.cpp
@@ -174,7 +174,7 @@
   All->Standings.Add({{"standing", standing}}).Increment();
 }
 
-void Metrics::countSettings(const std::string &outcome) {
+void Metrics::countSettingsRecord(const std::string &outcome) {
   All->Settings.Add({{"outcome", outcome}}).Increment();
 }
 
--- a/src/libfleet/reporting/metrics.h
+++ b/src/libfleet/reporting/metrics.h
@@ -41,7 +41,7 @@
   void countError(const std::string &kind);
   void countRetryDecision(const std::string &reason);
   void countStandingChange(const std::string &standing);
-  void countSettings(const std::string &outcome);
+  void countSettingsRecord(const std::string &outcome);
   void countLogFailure(const std::string &what);
   TrafficCounters &traffic() { return Traffic; }
 
--- a/src/libfleet/settings/settingsservice.cpp
+++ b/src/libfleet/settings/settingsservice.cpp
@@ -126,7 +126,7 @@
 void SettingsService::takeDocument(const SettingsUpdate &update) {
   if (!update.Faults.empty()) {
     Refused = {update.RefusedVersion, update.Faults, now()};
-    Counters.countSettings("rejected");
+    Counters.countSettingsRecord("rejected");
     logEvent(LogLevel::Warn, "settings_rejected",
              {{"version", update.RefusedVersion},
               {"in_force", Folded.Next},
@@ -138,7 +138,7 @@
     return;
   Loaded = true;
   Refused.reset();
-  Counters.countSettings("accepted");
+  Counters.countSettingsRecord("accepted");
   logEvent(LogLevel::Info, "settings_taken",
            {{"version", update.Document->Version},
             {"values", update.Document->Values.size()}});
@@ -160,12 +160,13 @@
   for (const LogRecord &record : records) {
     FoldResult result = foldRecord(Folded, record.Offset, record.Data);
     if (!result.Rejected.empty()) {
-      Counters.countSettings("rejected");
+      Counters.countSettingsRecord("rejected");
       logEvent(LogLevel::Warn, "settings_rejected",
                {{"offset", record.Offset}, {"reason", result.Rejected}});
     }
     if (result.Verdict) {
-      Counters.countSettings(std::string(toString(result.Verdict->Outcome)));
+      Counters.countSettingsRecord(
+          std::string(toString(result.Verdict->Outcome)));
       logEvent(LogLevel::Info, "settings_verdict",
                {{"change", result.Verdict->Id},
                 {"path", result.Verdict->Path},
