--- a/src/libfleet/peers/link.cpp
+++ b/src/libfleet/peers/link.cpp
@@ -98,7 +98,7 @@
   if (Urgent.size() >= MostQueuedFrames)
     return close("the peer does not read");
   Urgent.push_back(encodeFrame(frame));
-  Traffic.note(causeOf(frame), isFar(), Urgent.back().size());
+  Traffic.add(causeOf(frame), isFar(), Urgent.back().size());
   if (!IsWriting)
     writeNext();
 }
@@ -133,7 +133,7 @@
   frame.data.bytes = it.Content->substr(it.Sent, n);
   frame.__isset.data = true;
   std::string bytes = encodeFrame(frame);
-  Traffic.note(BodyCause, isFar(), bytes.size());
+  Traffic.add(BodyCause, isFar(), bytes.size());
   Writing += bytes;
   it.Sent += n;
   if (it.Sent < it.Content->size())
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -187,7 +187,7 @@
   error_code ec;
   // Standings and settings are told to the own data centre only.
   bool isBroad = cause == TrafficCause::Membership;
-  Traffic.note(cause, isBroad && isFar(address), bytes.size());
+  Traffic.add(cause, isBroad && isFar(address), bytes.size());
   Socket.send_to(asio::buffer(bytes), *to, 0, ec);
 }
 
--- a/src/libfleet/reporting/trafficcounters.cpp
+++ b/src/libfleet/reporting/trafficcounters.cpp
@@ -9,7 +9,7 @@
   return names[static_cast<std::size_t>(cause)];
 }
 
-void TrafficCounters::note(TrafficCause cause, bool isFar, std::size_t bytes) {
+void TrafficCounters::add(TrafficCause cause, bool isFar, std::size_t bytes) {
   (isFar ? Far : Near)[static_cast<std::size_t>(cause)] += bytes;
 }
 
--- a/src/libfleet/reporting/trafficcounters.h
+++ b/src/libfleet/reporting/trafficcounters.h
@@ -36,7 +36,7 @@
 /// use from every thread.
 class TrafficCounters {
 public:
-  void note(TrafficCause cause, bool isFar, std::size_t bytes);
+  void add(TrafficCause cause, bool isFar, std::size_t bytes);
 
   /// Bytes so far, to nodes of other data centres or of the own one.
   std::uint64_t bytes(TrafficCause cause, bool isFar) const;
