--- a/src/hickorygladectl/explain.cpp
+++ b/src/hickorygladectl/explain.cpp
@@ -12,7 +12,7 @@
     std::cerr << "hickorygladectl: explain needs the id of a request\n";
     return ExitUsage;
   }
-  LogStory story(options.Arguments.front());
+  RequestTrace story(options.Arguments.front());
   for (const std::string &file : std::span(options.Arguments).subspan(1)) {
     std::ifstream in(file);
     if (!in) {
--- a/src/hickorygladectl/logstory.cpp
+++ b/src/hickorygladectl/logstory.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void LogStory::read(std::istream &in) {
+void RequestTrace::read(std::istream &in) {
   std::string text;
   while (std::getline(in, text)) {
     // Collectors often put a time or a name before the line.
@@ -38,7 +38,7 @@
   }
 }
 
-std::vector<json> LogStory::lines() const {
+std::vector<json> RequestTrace::lines() const {
   std::set<std::string> requests{Id};
   for (const json &it : All)
     if (textOf(it, "caller_id") == Id)
--- a/src/hickorygladectl/logstory.h
+++ b/src/hickorygladectl/logstory.h
@@ -9,10 +9,10 @@
 namespace hickoryglade::ctl {
 
 /// Collects what the logs of several nodes say of one request.
-class LogStory {
+class RequestTrace {
 public:
   /// The id is the caller's own or the fleet's.
-  explicit LogStory(std::string id) : Id(std::move(id)) {}
+  explicit RequestTrace(std::string id) : Id(std::move(id)) {}
 
   /// Takes the lines of one log; lines that are not JSON are passed over.
   void read(std::istream &in);
--- a/tests/logs/test_logs.cpp
+++ b/tests/logs/test_logs.cpp
@@ -52,7 +52,7 @@
       "\"request\":\"r-1\",\"outcome\":\"broken\"}\n"
       "{\"time\":\"1\",\"node\":\"b\",\"event\":\"endpoint_result\","
       "\"request\":\"r-2\"}\n");
-  ctl::LogStory story("c");
+  ctl::RequestTrace story("c");
   story.read(entry);
   story.read(gate);
   auto lines = story.lines();
@@ -62,5 +62,5 @@
   CHECK(lines[2]["status"] == 502);
   CHECK(ctl::describeLine(lines[1]) ==
         "1  b  endpoint_result  outcome=broken  request=r-1");
-  CHECK(ctl::LogStory("other").lines().empty());
+  CHECK(ctl::RequestTrace("other").lines().empty());
 }
