--- a/src/hickorygladectl/explain.cpp
+++ b/src/hickorygladectl/explain.cpp
@@ -12,18 +12,18 @@
     std::cerr << "hickorygladectl: explain needs the id of a request\n";
     return ExitUsage;
   }
-  RequestTrace story(options.Arguments.front());
+  RequestTrace trace(options.Arguments.front());
   for (const std::string &file : std::span(options.Arguments).subspan(1)) {
     std::ifstream in(file);
     if (!in) {
       std::cerr << file << ": cannot be read\n";
       return ExitUsage;
     }
-    story.read(in);
+    trace.read(in);
   }
   if (options.Arguments.size() == 1)
-    story.read(std::cin);
-  std::vector<nlohmann::json> lines = story.lines();
+    trace.read(std::cin);
+  std::vector<nlohmann::json> lines = trace.lines();
   for (const nlohmann::json &it : lines)
     std::cout << (options.IsJson ? it.dump() : describeLine(it)) << "\n";
   if (!lines.empty())
--- a/tests/logs/test_logs.cpp
+++ b/tests/logs/test_logs.cpp
@@ -52,10 +52,10 @@
       "\"request\":\"r-1\",\"outcome\":\"broken\"}\n"
       "{\"time\":\"1\",\"node\":\"b\",\"event\":\"endpoint_result\","
       "\"request\":\"r-2\"}\n");
-  ctl::RequestTrace story("c");
-  story.read(entry);
-  story.read(gate);
-  auto lines = story.lines();
+  ctl::RequestTrace trace("c");
+  trace.read(entry);
+  trace.read(gate);
+  auto lines = trace.lines();
   REQUIRE(lines.size() == 3);
   CHECK(lines[0]["event"] == "route");
   CHECK(lines[1]["outcome"] == "broken");
