--- a/src/hickorygladectl/explain.cpp
+++ b/src/hickorygladectl/explain.cpp
@@ -1,5 +1,5 @@
 #include "hickorygladectl/commands.h"
-#include "hickorygladectl/logstory.h"
+#include "hickorygladectl/requesttrace.h"
 
 #include <fstream>
 #include <iostream>
--- a/tests/logs/test_logs.cpp
+++ b/tests/logs/test_logs.cpp
@@ -1,4 +1,4 @@
-#include "hickorygladectl/logstory.h"
+#include "hickorygladectl/requesttrace.h"
 #include "libfleet/base/loop.h"
 #include "libfleet/reporting/logbudget.h"
 
