--- a/src/hickorygladectl/explain.cpp
+++ b/src/hickorygladectl/explain.cpp
@@ -25,7 +25,7 @@
     trace.read(std::cin);
   std::vector<nlohmann::json> lines = trace.lines();
   for (const nlohmann::json &it : lines)
-    std::cout << (options.IsJson ? it.dump() : describeLine(it)) << "\n";
+    std::cout << (options.IsJson ? it.dump() : formatLine(it)) << "\n";
   if (!lines.empty())
     return ExitDone;
   std::cerr << "hickorygladectl: no line about " << options.Arguments.front()
--- a/src/hickorygladectl/requesttrace.cpp
+++ b/src/hickorygladectl/requesttrace.cpp
@@ -52,7 +52,7 @@
   return own;
 }
 
-std::string describeLine(const json &line) {
+std::string formatLine(const json &line) {
   std::string out = textOf(line, "time") + "  " + textOf(line, "node") + "  " +
                     textOf(line, "event");
   for (const auto &[key, value] : line.items())
--- a/src/hickorygladectl/requesttrace.h
+++ b/src/hickorygladectl/requesttrace.h
@@ -26,6 +26,6 @@
 };
 
 /// One line for people: time, node, event and the other fields.
-std::string describeLine(const nlohmann::json &line);
+std::string formatLine(const nlohmann::json &line);
 
 } // namespace hickoryglade::ctl
--- a/tests/logs/test_logs.cpp
+++ b/tests/logs/test_logs.cpp
@@ -60,7 +60,7 @@
   CHECK(lines[0]["event"] == "route");
   CHECK(lines[1]["outcome"] == "broken");
   CHECK(lines[2]["status"] == 502);
-  CHECK(ctl::describeLine(lines[1]) ==
+  CHECK(ctl::formatLine(lines[1]) ==
         "1  b  endpoint_result  outcome=broken  request=r-1");
   CHECK(ctl::RequestTrace("other").lines().empty());
 }
