--- a/src/hickorygladectl/requesttrace.cpp
+++ b/src/hickorygladectl/requesttrace.cpp
@@ -17,10 +17,10 @@
   return it->is_string() ? it->get<std::string>() : it->dump();
 }
 
-bool isHead(const std::string &key) {
-  constexpr std::array<std::string_view, 4> head = {"time", "node", "event",
-                                                    "level"};
-  return std::ranges::find(head, key) != head.end();
+bool isLeadingField(const std::string &key) {
+  constexpr std::array<std::string_view, 4> leading = {"time", "node", "event",
+                                                       "level"};
+  return std::ranges::find(leading, key) != leading.end();
 }
 
 } // namespace
@@ -56,7 +56,7 @@
   std::string out = textOf(line, "time") + "  " + textOf(line, "node") + "  " +
                     textOf(line, "event");
   for (const auto &[key, value] : line.items())
-    if (!isHead(key))
+    if (!isLeadingField(key))
       out += "  " + key + "=" + textOf(line, key.c_str());
   return out;
 }
