--- a/src/hickorygladectl/adminclient.cpp
+++ b/src/hickorygladectl/adminclient.cpp
@@ -39,11 +39,11 @@
 
 } // namespace
 
-absl::StatusOr<AdminReply> askNode(const std::string &address,
-                                   const std::string &method,
-                                   const std::string &target,
-                                   const std::string &body,
-                                   std::chrono::milliseconds limit) {
+absl::StatusOr<AdminReply> sendAdminRequest(const std::string &address,
+                                            const std::string &method,
+                                            const std::string &target,
+                                            const std::string &body,
+                                            std::chrono::milliseconds limit) {
   auto parsed = parseAddress(address);
   if (!parsed)
     return absl::InvalidArgumentError("not an address: " + address);
--- a/src/hickorygladectl/adminclient.h
+++ b/src/hickorygladectl/adminclient.h
@@ -16,10 +16,10 @@
 };
 
 /// Asks a node; fails if it cannot be reached or does not answer in time.
-absl::StatusOr<AdminReply> askNode(const std::string &address,
-                                   const std::string &method,
-                                   const std::string &target,
-                                   const std::string &body,
-                                   std::chrono::milliseconds limit);
+absl::StatusOr<AdminReply> sendAdminRequest(const std::string &address,
+                                            const std::string &method,
+                                            const std::string &target,
+                                            const std::string &body,
+                                            std::chrono::milliseconds limit);
 
 } // namespace hickoryglade::ctl
--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -98,7 +98,8 @@
   auto until = Clock::now() + options.Wait;
   std::vector<std::string> behind{options.Node};
   while (!behind.empty()) {
-    auto reply = askNode(options.Node, "GET", "/v1/status", "", AskLimit);
+    auto reply =
+        sendAdminRequest(options.Node, "GET", "/v1/status", "", AskLimit);
     if (reply.ok() && reply->Status == 200)
       behind = lagging(reply->Body, revision);
     if (behind.empty() || Clock::now() >= until)
@@ -199,8 +200,8 @@
     return ExitUsage;
   std::int64_t base = options.Base.value_or(0);
   if (!options.Base) {
-    auto present =
-        askNode(options.Node, "GET", "/v1/settings" + path, "", AskLimit);
+    auto present = sendAdminRequest(options.Node, "GET", "/v1/settings" + path,
+                                    "", AskLimit);
     if (!present.ok())
       return complain(present.status());
     if (present->Status != 200)
@@ -213,8 +214,8 @@
                  {"base", base},
                  {"value", *value},
                  {"author", user ? user : ""}};
-  auto reply =
-      askNode(options.Node, "POST", "/v1/changes", change.dump(), PublishLimit);
+  auto reply = sendAdminRequest(options.Node, "POST", "/v1/changes",
+                                change.dump(), PublishLimit);
   if (!reply.ok())
     return complain(reply.status());
   return reportVerdict(options, *reply);
@@ -223,8 +224,8 @@
 int get(const Options &options) {
   if (options.Arguments.empty() || options.Arguments.size() > 2)
     return misuse("get takes a path and perhaps a key");
-  auto reply = askNode(options.Node, "GET",
-                       "/v1/settings" + options.Arguments[0], "", AskLimit);
+  auto reply = sendAdminRequest(
+      options.Node, "GET", "/v1/settings" + options.Arguments[0], "", AskLimit);
   if (!reply.ok())
     return complain(reply.status());
   if (reply->Status != 200) {
@@ -267,7 +268,8 @@
 }
 
 int status(const Options &options) {
-  auto reply = askNode(options.Node, "GET", "/v1/status", "", AskLimit);
+  auto reply =
+      sendAdminRequest(options.Node, "GET", "/v1/status", "", AskLimit);
   if (!reply.ok())
     return complain(reply.status());
   printStatus(reply->Body, options.IsJson);
@@ -277,7 +279,8 @@
 int watch(const Options &options) {
   json last;
   for (int n = 0; options.Count == 0 || n < options.Count;) {
-    auto reply = askNode(options.Node, "GET", "/v1/status", "", AskLimit);
+    auto reply =
+        sendAdminRequest(options.Node, "GET", "/v1/status", "", AskLimit);
     if (!reply.ok())
       return complain(reply.status());
     if (summary(reply->Body) != last) {
