--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -17,8 +17,8 @@
 using nlohmann::json;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds AskLimit{3'000};
-constexpr std::chrono::milliseconds PublishLimit{12'000};
+constexpr std::chrono::milliseconds RequestTimeout{3'000};
+constexpr std::chrono::milliseconds PublishTimeout{12'000};
 constexpr std::chrono::milliseconds PollPeriod{100};
 constexpr std::chrono::milliseconds WatchPeriod{500};
 
@@ -99,7 +99,7 @@
   std::vector<std::string> behind{options.Node};
   while (!behind.empty()) {
     auto reply =
-        sendAdminRequest(options.Node, "GET", "/v1/status", "", AskLimit);
+        sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
     if (reply.ok() && reply->Status == 200)
       behind = lagging(reply->Body, revision);
     if (behind.empty() || Clock::now() >= until)
@@ -201,7 +201,7 @@
   std::int64_t base = options.Base.value_or(0);
   if (!options.Base) {
     auto present = sendAdminRequest(options.Node, "GET", "/v1/settings" + path,
-                                    "", AskLimit);
+                                    "", RequestTimeout);
     if (!present.ok())
       return complain(present.status());
     if (present->Status != 200)
@@ -215,7 +215,7 @@
                  {"value", *value},
                  {"author", user ? user : ""}};
   auto reply = sendAdminRequest(options.Node, "POST", "/v1/changes",
-                                change.dump(), PublishLimit);
+                                change.dump(), PublishTimeout);
   if (!reply.ok())
     return complain(reply.status());
   return reportVerdict(options, *reply);
@@ -224,8 +224,9 @@
 int get(const Options &options) {
   if (options.Arguments.empty() || options.Arguments.size() > 2)
     return misuse("get takes a path and perhaps a key");
-  auto reply = sendAdminRequest(
-      options.Node, "GET", "/v1/settings" + options.Arguments[0], "", AskLimit);
+  auto reply = sendAdminRequest(options.Node, "GET",
+                                "/v1/settings" + options.Arguments[0], "",
+                                RequestTimeout);
   if (!reply.ok())
     return complain(reply.status());
   if (reply->Status != 200) {
@@ -269,7 +270,7 @@
 
 int status(const Options &options) {
   auto reply =
-      sendAdminRequest(options.Node, "GET", "/v1/status", "", AskLimit);
+      sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
   if (!reply.ok())
     return complain(reply.status());
   printStatus(reply->Body, options.IsJson);
@@ -280,7 +281,7 @@
   json last;
   for (int n = 0; options.Count == 0 || n < options.Count;) {
     auto reply =
-        sendAdminRequest(options.Node, "GET", "/v1/status", "", AskLimit);
+        sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
     if (!reply.ok())
       return complain(reply.status());
     if (summary(reply->Body) != last) {
