--- a/src/hickorygladectl/adminclient.cpp
+++ b/src/hickorygladectl/adminclient.cpp
@@ -43,7 +43,7 @@
                                             const std::string &method,
                                             const std::string &target,
                                             const std::string &body,
-                                            std::chrono::milliseconds limit) {
+                                            std::chrono::milliseconds timeout) {
   auto parsed = parseAddress(address);
   if (!parsed)
     return absl::InvalidArgumentError("not an address: " + address);
@@ -55,7 +55,7 @@
   exchange.Request.set(http::field::host, address);
   exchange.Request.body() = body;
   exchange.Request.prepare_payload();
-  exchange.Stream.expires_after(limit);
+  exchange.Stream.expires_after(timeout);
   tcp::endpoint to(asio::ip::make_address(parsed->Ip), parsed->Port);
   asio::co_spawn(io, perform(exchange, to), asio::detached);
   io.run();
--- a/src/hickorygladectl/adminclient.h
+++ b/src/hickorygladectl/adminclient.h
@@ -20,6 +20,6 @@
                                             const std::string &method,
                                             const std::string &target,
                                             const std::string &body,
-                                            std::chrono::milliseconds limit);
+                                            std::chrono::milliseconds timeout);
 
 } // namespace hickoryglade::ctl
