--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -22,7 +22,7 @@
 constexpr std::chrono::milliseconds PollPeriod{100};
 constexpr std::chrono::milliseconds WatchPeriod{500};
 
-int complain(const absl::Status &status) {
+int reportUnreachable(const absl::Status &status) {
   std::cerr << "hickorygladectl: " << status.message() << "\n";
   return ExitUnreachable;
 }
@@ -203,7 +203,7 @@
     auto present = sendAdminRequest(options.Node, "GET", "/v1/settings" + path,
                                     "", RequestTimeout);
     if (!present.ok())
-      return complain(present.status());
+      return reportUnreachable(present.status());
     if (present->Status != 200)
       return reportVerdict(options, *present);
     base = present->Body["revision"].get<std::int64_t>();
@@ -217,7 +217,7 @@
   auto reply = sendAdminRequest(options.Node, "POST", "/v1/changes",
                                 change.dump(), PublishTimeout);
   if (!reply.ok())
-    return complain(reply.status());
+    return reportUnreachable(reply.status());
   return reportVerdict(options, *reply);
 }
 
@@ -228,7 +228,7 @@
                                 "/v1/settings" + options.Arguments[0], "",
                                 RequestTimeout);
   if (!reply.ok())
-    return complain(reply.status());
+    return reportUnreachable(reply.status());
   if (reply->Status != 200) {
     std::cerr << textOf(reply->Body.value("error", json("refused"))) << "\n";
     return ExitInvalid;
@@ -272,7 +272,7 @@
   auto reply =
       sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
   if (!reply.ok())
-    return complain(reply.status());
+    return reportUnreachable(reply.status());
   printStatus(reply->Body, options.IsJson);
   return ExitDone;
 }
@@ -283,7 +283,7 @@
     auto reply =
         sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
     if (!reply.ok())
-      return complain(reply.status());
+      return reportUnreachable(reply.status());
     if (summary(reply->Body) != last) {
       last = summary(reply->Body);
       printStatus(reply->Body, options.IsJson);
