--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -27,7 +27,7 @@
   return ExitUnreachable;
 }
 
-int misuse(const std::string &reason) {
+int reportUsageError(const std::string &reason) {
   std::cerr << "hickorygladectl: " << reason << "\n";
   return ExitUsage;
 }
@@ -193,7 +193,7 @@
 
 int publish(const Options &options) {
   if (options.Arguments.size() != 1)
-    return misuse("publish takes one path");
+    return reportUsageError("publish takes one path");
   const std::string &path = options.Arguments[0];
   std::optional<json> value = loadValue(options);
   if (!value)
@@ -223,7 +223,7 @@
 
 int get(const Options &options) {
   if (options.Arguments.empty() || options.Arguments.size() > 2)
-    return misuse("get takes a path and perhaps a key");
+    return reportUsageError("get takes a path and perhaps a key");
   auto reply = sendAdminRequest(options.Node, "GET",
                                 "/v1/settings" + options.Arguments[0], "",
                                 RequestTimeout);
@@ -254,7 +254,7 @@
 
 int validate(const Options &options) {
   if (options.Arguments.size() != 1)
-    return misuse("validate takes one path");
+    return reportUsageError("validate takes one path");
   std::optional<json> value = loadValue(options);
   if (!value)
     return ExitUsage;
