--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -83,7 +83,8 @@
 }
 
 /// Members that are alive but have not read up to a revision.
-std::vector<std::string> lagging(const json &report, std::int64_t revision) {
+std::vector<std::string> laggingMembers(const json &report,
+                                        std::int64_t revision) {
   std::vector<std::string> nodes;
   for (const json &it : report["members"])
     if (it["state"] != "dead" && !it["leaving"].get<bool>() &&
@@ -101,7 +102,7 @@
     auto reply =
         sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
     if (reply.ok() && reply->Status == 200)
-      behind = lagging(reply->Body, revision);
+      behind = laggingMembers(reply->Body, revision);
     if (behind.empty() || Clock::now() >= until)
       break;
     std::this_thread::sleep_for(PollPeriod);
