--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -146,7 +146,7 @@
                                                      : ExitUnreachable;
 }
 
-json summary(const json &report) {
+json withoutVolatileFields(const json &report) {
   json copy = report;
   copy.erase("gossip_bytes_sent");
   for (json &it : copy["quarantine"])
@@ -285,8 +285,8 @@
         sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
     if (!reply.ok())
       return reportUnreachable(reply.status());
-    if (summary(reply->Body) != last) {
-      last = summary(reply->Body);
+    if (withoutVolatileFields(reply->Body) != last) {
+      last = withoutVolatileFields(reply->Body);
       printStatus(reply->Body, options.IsJson);
       ++n;
     }
