--- a/tests/bench/loadtool.cpp
+++ b/tests/bench/loadtool.cpp
@@ -198,7 +198,7 @@
     fleet.startNode(it);
     fleet.startServer(it);
   }
-  fleet.configure(usualConfig(1));
+  fleet.configure(defaultConfig(1));
   fleet.awaitServing();
   std::this_thread::sleep_for(std::chrono::seconds(7));
   std::vector<double> before;
--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-json usualConfig(int version, const std::string &service) {
+json defaultConfig(int version, const std::string &service) {
   json clusters = json::array();
   for (const char *name : {"s", "t"})
     clusters.push_back({{"name", name},
--- a/tests/platform/platformfleet.h
+++ b/tests/platform/platformfleet.h
@@ -69,6 +69,6 @@
 
 /// A configuration with a safe route at /safe/ and one that is not idempotent
 /// at /once/, both to a service.
-nlohmann::json usualConfig(int version, const std::string &service = "s");
+nlohmann::json defaultConfig(int version, const std::string &service = "s");
 
 } // namespace hickoryglade::testing
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -22,7 +22,7 @@
   }
   fleet.startNode("n3", "t");
   fleet.startServer("n3", "t");
-  fleet.configure(usualConfig(1));
+  fleet.configure(defaultConfig(1));
   fleet.awaitServing();
 }
 
@@ -76,17 +76,17 @@
   auto servedBy = [&](const std::string &server) {
     return fleet.call("n1", "GET", "/safe/x").Body.starts_with(server);
   };
-  fleet.configure(usualConfig(7, "t"));
+  fleet.configure(defaultConfig(7, "t"));
   TestFleet::await(
       "the route has moved", [&] { return servedBy("i-n3"); }, 2'000);
-  fleet.configure(usualConfig(5, "s"));
-  json odd = usualConfig(9, "s");
+  fleet.configure(defaultConfig(5, "s"));
+  json odd = defaultConfig(9, "s");
   odd["listeners"][0]["route_rules"][0]["kind"] = "odd";
   fleet.configure(odd);
-  fleet.configure(usualConfig(11, "unknown"));
+  fleet.configure(defaultConfig(11, "unknown"));
   for (int i = 0; i < 20; ++i)
     CHECK(servedBy("i-n3"));
-  fleet.configure(usualConfig(12, "s"));
+  fleet.configure(defaultConfig(12, "s"));
   TestFleet::await(
       "the route is back", [&] { return !servedBy("i-n3"); }, 2'000);
 }
@@ -102,7 +102,7 @@
   fleet.process("n1").wait();
   fleet.controlStore({{"mode", "ok"}, {"lost_answers", 2}});
   fleet.startNode("n1");
-  fleet.configure(usualConfig(2, "t"));
+  fleet.configure(defaultConfig(2, "t"));
   TestFleet::await("new settings everywhere", [&] {
     return fleet.call("n1", "GET", "/safe/x").Body.starts_with("i-n3") &&
            fleet.call("n2", "GET", "/safe/x").Body.starts_with("i-n3");
@@ -230,7 +230,7 @@
 TEST_CASE("a node that ends answers what it could not finish", "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
-  json config = usualConfig(2);
+  json config = defaultConfig(2);
   for (json &rule : config["listeners"][0]["route_rules"]) {
     rule["target_latency_s"] = 6;
     rule["action"]["timeout_s"] = 8;
