--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -153,7 +153,7 @@
       .Status;
 }
 
-int PlatformFleet::runsOfLast() {
+int PlatformFleet::runsOfLastAttempt() {
   int runs = 0;
   for (const auto &[node, address] : Servers) {
     json seen = controlServer(node, json::object());
--- a/tests/platform/platformfleet.h
+++ b/tests/platform/platformfleet.h
@@ -44,7 +44,7 @@
                  const std::string &target, const std::string &body = "");
   int readiness(const std::string &node);
   /// Runs of the latest attempt over all servers.
-  int runsOfLast();
+  int runsOfLastAttempt();
   const std::string &lastId() const { return LastId; }
 
   ChildProcess &process(const std::string &name) { return Processes.at(name); }
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -54,7 +54,7 @@
   CHECK(reply.header("Response-Signature") == "proof");
   CHECK(reply.header("Attempt-Id") == fleet.lastId());
   CHECK(reply.Body.ends_with(":the body"));
-  CHECK(fleet.runsOfLast() == 1);
+  CHECK(fleet.runsOfLastAttempt() == 1);
   json last;
   for (const char *node : {"n1", "n2"}) {
     json seen = fleet.controlServer(node, json::object());
@@ -132,7 +132,7 @@
     fleet.controlServer(node, {{"fault", "reset"}});
   HttpReply once = fleet.call("n3", "POST", "/once/x", "pay");
   CHECK(once.Status == 502);
-  CHECK(fleet.runsOfLast() == 1);
+  CHECK(fleet.runsOfLastAttempt() == 1);
   fleet.controlServer("n1", {{"fault", ""}});
   TestFleet::await("the sound server to be trusted", [&] {
     return fleet.call("n3", "GET", "/safe/x").Status == 200;
@@ -147,7 +147,7 @@
     fleet.controlServer(node, {{"fault", "shed"}});
   HttpReply reply = fleet.call("n3", "POST", "/once/x", "pay");
   CHECK(reply.Status == 503);
-  CHECK(fleet.runsOfLast() == 0);
+  CHECK(fleet.runsOfLastAttempt() == 0);
   double wait = std::stod(reply.header("Retry-After"));
   CHECK(wait > 0);
   CHECK(wait <= 0.5);
