--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -26,7 +26,7 @@
   fleet.awaitServing();
 }
 
-int servedOf(PlatformFleet &fleet, int calls) {
+int countServed(PlatformFleet &fleet, int calls) {
   int served = 0;
   for (int i = 0; i < calls; ++i)
     served += fleet.call("n3", "GET", "/safe/x").Status == 200;
@@ -96,7 +96,7 @@
   PlatformFleet fleet;
   startAll(fleet);
   fleet.controlStore({{"mode", "silent"}});
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
   CHECK(fleet.readiness("n1") == 200);
   fleet.process("n1").signal(SIGKILL);
   fleet.process("n1").wait();
@@ -120,7 +120,7 @@
     return fleet.controlServer("n1", json::object())["acked"] == wanted;
   });
   int before = fleet.controlServer("n1", json::object())["arrivals"];
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
   CHECK(fleet.controlServer("n1", json::object())["arrivals"] == before);
 }
 
@@ -137,7 +137,7 @@
   TestFleet::await("the sound server to be trusted", [&] {
     return fleet.call("n3", "GET", "/safe/x").Status == 200;
   });
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
 }
 
 TEST_CASE("a refusal by all servers says that nothing has run", "[platform]") {
@@ -181,7 +181,7 @@
   fleet.startNode("n2");
   fleet.startNode("n3", "t");
   fleet.awaitServing();
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
 }
 
 TEST_CASE("bad messages name no server and harm nothing", "[platform]") {
@@ -208,7 +208,7 @@
   CHECK(
       fleet.call("n3", "POST", "/once/x", std::string(1'100'000, 'a')).Status ==
       413);
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
 }
 
 TEST_CASE("a stop under load loses nothing, SIGHUP changes nothing",
@@ -216,14 +216,14 @@
   PlatformFleet fleet;
   startAll(fleet);
   fleet.process("n2").signal(SIGHUP);
-  CHECK(servedOf(fleet, 10) == 10);
+  CHECK(countServed(fleet, 10) == 10);
   CHECK(fleet.process("n2").isRunning());
   fleet.process("n2").signal(SIGTERM);
   TestFleet::await("not ready", [&] { return fleet.readiness("n2") != 200; });
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
   CHECK(fleet.call("n2", "GET", "/safe/x").Status == 200);
   CHECK(fleet.process("n2").wait() == 0);
-  CHECK(servedOf(fleet, 10) == 10);
+  CHECK(countServed(fleet, 10) == 10);
 }
 
 // Deadlines are longer than a stop may last, and no slot becomes free.
