--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -20,7 +20,7 @@
 
 /// Bytes that a parser must survive, made from good ones: cut short, with
 /// bytes changed, doubled or dropped.
-std::string spoil(std::string text, Random &rng) {
+std::string corrupt(std::string text, Random &rng) {
   std::uint64_t changes = 1 + uniform(rng, 4);
   for (std::uint64_t i = 0; i < changes && !text.empty(); ++i) {
     std::size_t at = uniform(rng, text.size());
@@ -45,7 +45,7 @@
   return text;
 }
 
-constexpr int SpoiledInputs = 20'000;
+constexpr int CorruptedInputs = 20'000;
 
 json goodConfig() {
   return json::parse(R"({"version":7,"base_version":5,
@@ -307,14 +307,14 @@
       std::string(16, '\0') + encodeRecord({"config", config});
   std::string page = json{{"items", json::array()}, {"end_offset", 6}}.dump();
   int taken = 0;
-  for (int i = 0; i < SpoiledInputs; ++i) {
+  for (int i = 0; i < CorruptedInputs; ++i) {
     std::vector<SettingsFault> faults;
-    auto document = parseConfig(spoil(config, rng), faults);
+    auto document = parseConfig(corrupt(config, rng), faults);
     CHECK(document.has_value() == faults.empty());
     taken += document.has_value();
-    parseEndpointMessage(beatOf(spoil(goodBeat(), rng)));
-    decodeRecords(spoil(records, rng), 0);
-    decodePage(spoil(page, rng));
+    parseEndpointMessage(beatOf(corrupt(goodBeat(), rng)));
+    decodeRecords(corrupt(records, rng), 0);
+    decodePage(corrupt(page, rng));
   }
-  CHECK(taken < SpoiledInputs);
+  CHECK(taken < CorruptedInputs);
 }
