--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -47,7 +47,7 @@
 
 constexpr int CorruptedInputs = 20'000;
 
-json goodConfig() {
+json validConfig() {
   return json::parse(R"({"version":7,"base_version":5,
     "limits":{"header_bytes":16384,"body_bytes":1000,"header_timeout_s":3,
               "idle_timeout_s":15},
@@ -63,7 +63,7 @@
        "action":{"service":"b","timeout_s":1.2,"max_attempts":3}}]}]})");
 }
 
-std::string goodBeat() {
+std::string validHeartbeat() {
   return R"({"service":"a","address":"10.0.0.9:8080","zone":"z","version":"v1",)"
          R"("slots":3,"state":"draining","cold_remaining_s":0,"sequence":4,)"
          R"("born":1700000000000})";
@@ -87,7 +87,7 @@
 
 TEST_CASE("a configuration becomes a tree of settings") {
   std::vector<SettingsFault> faults;
-  auto document = parseConfig(goodConfig().dump(), faults);
+  auto document = parseConfig(validConfig().dump(), faults);
   REQUIRE(document);
   CHECK(document->Version == 7);
   SettingsState state;
@@ -112,7 +112,7 @@
 TEST_CASE("each kind of route says whether requests may be repeated") {
   for (const auto &[kind, isIdempotent] : std::map<std::string, bool>{
            {"safe", true}, {"download", true}, {"non_idempotent", false}}) {
-    json config = goodConfig();
+    json config = validConfig();
     config["listeners"][0]["route_rules"][1]["kind"] = kind;
     std::vector<SettingsFault> faults;
     auto document = parseConfig(config.dump(), faults);
@@ -147,7 +147,7 @@
 }
 
 TEST_CASE("a fault names the path and the value") {
-  json config = goodConfig();
+  json config = validConfig();
   config["listeners"][0]["route_rules"][1]["kind"] = "sometimes";
   std::vector<SettingsFault> faults;
   REQUIRE_FALSE(parseConfig(config.dump(), faults));
@@ -159,7 +159,7 @@
 
 // Work of a second is not long where its target is three.
 TEST_CASE("what counts as long follows the longest target of a service") {
-  json config = goodConfig();
+  json config = validConfig();
   json &rules = config["listeners"][0]["route_rules"];
   rules[0]["target_latency_s"] = 3;
   std::vector<SettingsFault> faults;
@@ -171,7 +171,7 @@
 }
 
 TEST_CASE("a configuration with any fault is refused whole") {
-  json config = goodConfig();
+  json config = validConfig();
   json &rule = config["listeners"][0]["route_rules"][1];
   SECTION("unknown service") { rule["action"]["service"] = "c"; }
   SECTION("odd kind") { rule["kind"] = "sometimes"; }
@@ -195,7 +195,7 @@
 }
 
 TEST_CASE("heartbeats become announcements, or are refused with a reason") {
-  auto message = parseEndpointMessage(beatOf(goodBeat()));
+  auto message = parseEndpointMessage(beatOf(validHeartbeat()));
   REQUIRE(std::holds_alternative<Announcement>(message));
   const auto &facts = std::get<Announcement>(message);
   CHECK(facts.Name == "i-1");
@@ -205,7 +205,7 @@
   CHECK(facts.Sequence == 4);
   for (const char *key :
        {"service", "address", "slots", "state", "sequence", "born"}) {
-    json beat = json::parse(goodBeat());
+    json beat = json::parse(validHeartbeat());
     beat.erase(key);
     CHECK(std::holds_alternative<fleet::MalformedAnnouncement>(
         parseEndpointMessage(beatOf(beat.dump()))));
@@ -302,7 +302,7 @@
 
 TEST_CASE("parsers survive spoiled bytes") {
   Random rng(20'261'204);
-  std::string config = goodConfig().dump();
+  std::string config = validConfig().dump();
   std::string records =
       std::string(16, '\0') + encodeRecord({"config", config});
   std::string page = json{{"items", json::array()}, {"end_offset", 6}}.dump();
@@ -312,7 +312,7 @@
     auto document = parseConfig(corrupt(config, rng), faults);
     CHECK(document.has_value() == faults.empty());
     taken += document.has_value();
-    parseEndpointMessage(beatOf(corrupt(goodBeat(), rng)));
+    parseEndpointMessage(beatOf(corrupt(validHeartbeat(), rng)));
     decodeRecords(corrupt(records, rng), 0);
     decodePage(corrupt(page, rng));
   }
