--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -69,7 +69,7 @@
          R"("born":1700000000000})";
 }
 
-fleet::HttpRequest beatOf(const std::string &body) {
+fleet::HttpRequest heartbeatRequest(const std::string &body) {
   fleet::HttpRequest request;
   request.Method = "POST";
   request.Target = "/rpc?call=instances.heartbeat&of=i-1";
@@ -195,7 +195,7 @@
 }
 
 TEST_CASE("heartbeats become announcements, or are refused with a reason") {
-  auto message = parseEndpointMessage(beatOf(validHeartbeat()));
+  auto message = parseEndpointMessage(heartbeatRequest(validHeartbeat()));
   REQUIRE(std::holds_alternative<Announcement>(message));
   const auto &facts = std::get<Announcement>(message);
   CHECK(facts.Name == "i-1");
@@ -208,12 +208,12 @@
     json beat = json::parse(validHeartbeat());
     beat.erase(key);
     CHECK(std::holds_alternative<fleet::MalformedAnnouncement>(
-        parseEndpointMessage(beatOf(beat.dump()))));
+        parseEndpointMessage(heartbeatRequest(beat.dump()))));
     beat[key] = json::array();
     CHECK(std::holds_alternative<fleet::MalformedAnnouncement>(
-        parseEndpointMessage(beatOf(beat.dump()))));
+        parseEndpointMessage(heartbeatRequest(beat.dump()))));
   }
-  fleet::HttpRequest other = beatOf("");
+  fleet::HttpRequest other = heartbeatRequest("");
   other.Target = "/v1/endpoints";
   CHECK(std::holds_alternative<std::monostate>(parseEndpointMessage(other)));
 }
@@ -312,7 +312,7 @@
     auto document = parseConfig(corrupt(config, rng), faults);
     CHECK(document.has_value() == faults.empty());
     taken += document.has_value();
-    parseEndpointMessage(beatOf(corrupt(validHeartbeat(), rng)));
+    parseEndpointMessage(heartbeatRequest(corrupt(validHeartbeat(), rng)));
     decodeRecords(corrupt(records, rng), 0);
     decodePage(corrupt(page, rng));
   }
