--- a/tests/bench/loadtool.cpp
+++ b/tests/bench/loadtool.cpp
@@ -186,10 +186,10 @@
 /// Announcements, questions for readiness and polls of the store go on, as they
 /// do on the platform.
 int measureIdle(int nodes) {
-  constexpr int BeatMs = 1'500;
+  constexpr int HeartbeatMs = 1'500;
   constexpr int Seconds = 20;
   PlatformFleet fleet;
-  fleet.setBeatMs(BeatMs);
+  fleet.setHeartbeatMs(HeartbeatMs);
   fleet.startStore();
   std::vector<std::string> names;
   for (int i = 0; i < nodes; ++i)
--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -109,7 +109,7 @@
   Processes["server-" + node] =
       ChildProcess({program("tests/serverstandin"), "--listen", at, "--control",
                     Nodes.at(node).Admin, "--id", "i-" + node, "--service",
-                    service, "--beat-ms", std::to_string(BeatMs)},
+                    service, "--beat-ms", std::to_string(HeartbeatMs)},
                    file("server.err"));
 }
 
--- a/tests/platform/platformfleet.h
+++ b/tests/platform/platformfleet.h
@@ -26,7 +26,7 @@
   };
 
   /// Between the announcements of servers that are started from now on.
-  void setBeatMs(int beatMs) { BeatMs = beatMs; }
+  void setHeartbeatMs(int heartbeatMs) { HeartbeatMs = heartbeatMs; }
 
   void startStore();
   void startNode(const std::string &name, const std::string &service = "s");
@@ -64,7 +64,7 @@
   std::map<std::string, std::string> Servers;
   std::string LastId;
   int Attempts = 0;
-  int BeatMs = 200;
+  int HeartbeatMs = 200;
 };
 
 /// A configuration with a safe route at /safe/ and one that is not idempotent
