--- a/tests/platform/serverstandin.cpp
+++ b/tests/platform/serverstandin.cpp
@@ -73,7 +73,7 @@
     co_return co_await reply(wire, answerBytes(200, body, echo + Proof));
   }
 
-  asio::awaitable<void> beatForever() {
+  asio::awaitable<void> sendHeartbeats() {
     while (State != "gone") {
       co_await beat();
       co_await sleepFor(Self.BeatPeriod);
@@ -163,7 +163,7 @@
                         return server->handle(std::move(request),
                                               std::move(wire));
                       });
-  fleet::asio::co_spawn(io, server->beatForever(), fleet::asio::detached);
+  fleet::asio::co_spawn(io, server->sendHeartbeats(), fleet::asio::detached);
   io.run();
   return 0;
 }
