--- a/tests/platform/serverstandin.cpp
+++ b/tests/platform/serverstandin.cpp
@@ -24,7 +24,7 @@
   std::string Control;
   std::string Id;
   std::string Service;
-  Millis BeatPeriod{200};
+  Millis HeartbeatPeriod{200};
   std::int64_t Born = wallMicros() / 1'000;
 };
 
@@ -75,13 +75,13 @@
 
   asio::awaitable<void> sendHeartbeats() {
     while (State != "gone") {
-      co_await beat();
-      co_await sleepFor(Self.BeatPeriod);
+      co_await sendHeartbeat();
+      co_await sleepFor(Self.HeartbeatPeriod);
     }
   }
 
 private:
-  asio::awaitable<void> beat() {
+  asio::awaitable<void> sendHeartbeat() {
     std::string method = "POST";
     std::string target = "/rpc?call=instances.heartbeat&of=" + Self.Id;
     std::string body = json{
@@ -154,7 +154,7 @@
   identity.Control = option("control", "127.0.0.1:9200");
   identity.Id = option("id", "i-1");
   identity.Service = option("service", "s");
-  identity.BeatPeriod = Millis(std::stoi(option("beat-ms", "200")));
+  identity.HeartbeatPeriod = Millis(std::stoi(option("beat-ms", "200")));
   fleet::asio::io_context io{1};
   auto server = std::make_shared<standins::Server>(identity);
   standins::serveHttp(io, identity.Listen,
