--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -205,13 +205,13 @@
   CHECK(facts.Sequence == 4);
   for (const char *key :
        {"service", "address", "slots", "state", "sequence", "born"}) {
-    json beat = json::parse(validHeartbeat());
-    beat.erase(key);
+    json heartbeat = json::parse(validHeartbeat());
+    heartbeat.erase(key);
     CHECK(std::holds_alternative<fleet::MalformedAnnouncement>(
-        parseEndpointMessage(heartbeatRequest(beat.dump()))));
-    beat[key] = json::array();
+        parseEndpointMessage(heartbeatRequest(heartbeat.dump()))));
+    heartbeat[key] = json::array();
     CHECK(std::holds_alternative<fleet::MalformedAnnouncement>(
-        parseEndpointMessage(heartbeatRequest(beat.dump()))));
+        parseEndpointMessage(heartbeatRequest(heartbeat.dump()))));
   }
   fleet::HttpRequest other = heartbeatRequest("");
   other.Target = "/v1/endpoints";
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -187,18 +187,18 @@
 TEST_CASE("bad messages name no server and harm nothing", "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
-  auto beat = [&](const std::string &id, const std::string &body) {
+  auto heartbeat = [&](const std::string &id, const std::string &body) {
     HttpQuestion question{
         "POST", "/rpc?call=instances.heartbeat&of=" + id, {}, body};
     return callOnce(fleet.node("n1").Admin, question, CallLimit).Status;
   };
-  CHECK(beat("x", "") == 400);
-  CHECK(beat("x", "[1,2]") == 400);
-  CHECK(beat("x", R"({"service":7})") == 400);
-  CHECK(beat("", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
-                 R"("state":"ready","sequence":1,"born":1})") == 400);
-  CHECK(beat("x", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
-                  R"("state":"odd","sequence":1,"born":1})") == 400);
+  CHECK(heartbeat("x", "") == 400);
+  CHECK(heartbeat("x", "[1,2]") == 400);
+  CHECK(heartbeat("x", R"({"service":7})") == 400);
+  CHECK(heartbeat("", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
+                      R"("state":"ready","sequence":1,"born":1})") == 400);
+  CHECK(heartbeat("x", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
+                       R"("state":"odd","sequence":1,"born":1})") == 400);
   std::string slow = sendRaw(fleet.node("n1").Http, "GET /safe/ HT", CallLimit);
   CHECK(slow.find("408") != std::string::npos);
   std::string large =
