--- a/tests/platform/serverstandin.cpp
+++ b/tests/platform/serverstandin.cpp
@@ -25,7 +25,7 @@
   std::string Id;
   std::string Service;
   Millis HeartbeatPeriod{200};
-  std::int64_t Born = wallMicros() / 1'000;
+  std::int64_t StartedAtMs = wallMicros() / 1'000;
 };
 
 class Server {
@@ -92,7 +92,7 @@
         {"slots", 3},
         {"state", State},
         {"cold_remaining_s", 0},
-        {"born", Self.Born},
+        {"born", Self.StartedAtMs},
         {"sequence",
          ++Sequence}}.dump();
     std::string sent = State;
@@ -116,7 +116,7 @@
         State = "gone";
         std::string method = "POST";
         std::string target = "/rpc?call=instances.deregister&of=" + Self.Id;
-        std::string body = json{{"born", Self.Born}}.dump();
+        std::string body = json{{"born", Self.StartedAtMs}}.dump();
         CallResult result =
             co_await callHttp(Self.Control, method, target, body);
         Acked = result.Status == 200 ? "gone" : Acked;
