--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr milliseconds AskLimit{3'000};
+constexpr milliseconds CallTimeout{3'000};
 
 std::string program(const std::string &name) {
   return std::string(HICKORYGLADE_BUILD) + "/" + name;
@@ -115,7 +115,8 @@
 
 void PlatformFleet::configure(const json &config) {
   auto isTaken = [&] {
-    return callOnce(Store, {"POST", "/_operator", {}, config.dump()}, AskLimit)
+    return callOnce(Store, {"POST", "/_operator", {}, config.dump()},
+                    CallTimeout)
                .Status == 200;
   };
   TestFleet::await("configuration", isTaken);
@@ -123,13 +124,13 @@
 
 json PlatformFleet::controlStore(const json &change) {
   HttpReply reply =
-      callOnce(Store, {"POST", "/_control", {}, change.dump()}, AskLimit);
+      callOnce(Store, {"POST", "/_control", {}, change.dump()}, CallTimeout);
   return json::parse(reply.Body, nullptr, false);
 }
 
 json PlatformFleet::controlServer(const std::string &node, const json &change) {
   HttpReply reply = callOnce(
-      Servers.at(node), {"POST", "/_control", {}, change.dump()}, AskLimit);
+      Servers.at(node), {"POST", "/_control", {}, change.dump()}, CallTimeout);
   return json::parse(reply.Body, nullptr, false);
 }
 
@@ -145,11 +146,12 @@
                          {"Calling-Service", "forged"},
                          {"Remaining-Milliseconds", "1500"}},
                         body};
-  return callOnce(Nodes.at(node).Http, question, AskLimit);
+  return callOnce(Nodes.at(node).Http, question, CallTimeout);
 }
 
 int PlatformFleet::readiness(const std::string &node) {
-  return callOnce(Nodes.at(node).Ready, {"GET", "/readiness", {}, ""}, AskLimit)
+  return callOnce(Nodes.at(node).Ready, {"GET", "/readiness", {}, ""},
+                  CallTimeout)
       .Status;
 }
 
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr auto CallLimit = std::chrono::milliseconds(3'000);
+constexpr auto CallTimeout = std::chrono::milliseconds(3'000);
 
 /// Two nodes with a server each and one whose server is of another service.
 void startAll(PlatformFleet &fleet) {
@@ -190,7 +190,7 @@
   auto heartbeat = [&](const std::string &id, const std::string &body) {
     HttpQuestion question{
         "POST", "/rpc?call=instances.heartbeat&of=" + id, {}, body};
-    return callOnce(fleet.node("n1").Admin, question, CallLimit).Status;
+    return callOnce(fleet.node("n1").Admin, question, CallTimeout).Status;
   };
   CHECK(heartbeat("x", "") == 400);
   CHECK(heartbeat("x", "[1,2]") == 400);
@@ -199,11 +199,12 @@
                       R"("state":"ready","sequence":1,"born":1})") == 400);
   CHECK(heartbeat("x", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
                        R"("state":"odd","sequence":1,"born":1})") == 400);
-  std::string slow = sendRaw(fleet.node("n1").Http, "GET /safe/ HT", CallLimit);
+  std::string slow =
+      sendRaw(fleet.node("n1").Http, "GET /safe/ HT", CallTimeout);
   CHECK(slow.find("408") != std::string::npos);
   std::string large =
       "GET /safe/ HTTP/1.1\r\nX: " + std::string(20'000, 'a') + "\r\n\r\n";
-  std::string refused = sendRaw(fleet.node("n1").Http, large, CallLimit);
+  std::string refused = sendRaw(fleet.node("n1").Http, large, CallTimeout);
   CHECK(refused.find("431") != std::string::npos);
   CHECK(
       fleet.call("n3", "POST", "/once/x", std::string(1'100'000, 'a')).Status ==
@@ -237,7 +238,7 @@
   }
   auto settingsOf = [&] {
     std::string text = callOnce(fleet.node("n3").Admin,
-                                {"GET", "/v1/status", {}, ""}, CallLimit)
+                                {"GET", "/v1/status", {}, ""}, CallTimeout)
                            .Body;
     return json::parse(text, nullptr, false).value("settings_next", 0);
   };
@@ -289,7 +290,8 @@
   for (int i = 0; i < 6; ++i)
     fleet.call("n1", "GET", "/safe/x");
   auto ask = [&](const std::string &target) {
-    return callOnce(fleet.node("n1").Admin, {"GET", target, {}, ""}, CallLimit);
+    return callOnce(fleet.node("n1").Admin, {"GET", target, {}, ""},
+                    CallTimeout);
   };
   json status = json::parse(ask("/v1/status").Body, nullptr, false);
   REQUIRE(status.is_object());
