--- a/src/libfleet/reporting/metrics.cpp
+++ b/src/libfleet/reporting/metrics.cpp
@@ -178,8 +178,8 @@
   All->Settings.Add({{"outcome", outcome}}).Increment();
 }
 
-void Metrics::countLogFailure(const std::string &what) {
-  All->LogFailures.Add({{"call", what}}).Increment();
+void Metrics::countLogFailure(const std::string &call) {
+  All->LogFailures.Add({{"call", call}}).Increment();
 }
 
 std::string Metrics::text(const NodeGauges &node) const {
--- a/src/libfleet/reporting/metrics.h
+++ b/src/libfleet/reporting/metrics.h
@@ -42,7 +42,7 @@
   void countRetryDecision(const std::string &reason);
   void countStandingChange(const std::string &standing);
   void countSettingsRecord(const std::string &outcome);
-  void countLogFailure(const std::string &what);
+  void countLogFailure(const std::string &call);
   TrafficCounters &traffic() { return Traffic; }
 
   /// Prometheus text format, with figures of the process as they are now.
