--- a/src/libfleet/reporting/logbudget.cpp
+++ b/src/libfleet/reporting/logbudget.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Lines a second of one event: a node at its usual peak of 400 requests/s
-/// writes each failure and half of the rest.
+/// Limits for the lines of one event. At its usual peak of 400 requests/s, a
+/// node writes every failure and half of the other lines.
 constexpr int MaxLinesPerSecond = 200;
 constexpr int MaxFailureLinesPerSecond = 400;
 
--- a/src/libfleet/reporting/logbudget.h
+++ b/src/libfleet/reporting/logbudget.h
@@ -7,11 +7,11 @@
 
 namespace hickoryglade::fleet {
 
-/// Bounds the lines of each event in a second, so that a load cannot fill the
-/// log with one kind of line.
+/// Limits the lines of each event per second, so that a burst cannot fill the
+/// log with one event.
 class LogBudget {
 public:
-  /// Lines of one event that were left out in a second.
+  /// Dropped lines of one event.
   struct Dropped {
     std::string Event;
     int Lines = 0;
@@ -19,11 +19,11 @@
     bool operator==(const Dropped &) const = default;
   };
 
-  /// True if the line may be written.
+  /// Counts a line and returns true if it may be written.
   bool tryAcquire(const std::string &event, bool isFailure,
                   std::int64_t second);
 
-  /// What was left out before a second; each is given once.
+  /// Returns the lines dropped before a second, each of them once.
   std::vector<Dropped> takeDropped(std::int64_t second);
 
 private:
--- a/src/libfleet/reporting/logging.cpp
+++ b/src/libfleet/reporting/logging.cpp
@@ -29,7 +29,7 @@
   return spdlog::level::info;
 }
 
-/// The members of an object without its braces, behind a comma.
+/// Serialises the members of an object without its braces, after a comma.
 std::string membersOf(const nlohmann::json &fields) {
   if (!fields.is_object() || fields.empty())
     return "";
@@ -38,11 +38,11 @@
   return "," + text.substr(1, text.size() - 2);
 }
 
-/// Writes to standard output and never waits for its reader: a pipe that can be
-/// written takes a line of up to 4,096 bytes whole.
+/// Writes to standard output without blocking. A writable pipe accepts a line
+/// of up to 4,096 bytes whole.
 class OutputSink : public spdlog::sinks::base_sink<std::mutex> {
 public:
-  /// Lines that found no room.
+  /// Returns and resets the number of lines lost because the pipe was full.
   int takeLost() { return Lost.exchange(0); }
 
 protected:
@@ -78,7 +78,7 @@
   spdlog::log(toSpdlog(level), "\"event\":\"{}\"{}", event, membersOf(fields));
 }
 
-/// Says what was left out before this second.
+/// Logs how many lines were dropped before this second.
 void reportDropped(std::int64_t second) {
   for (const LogBudget::Dropped &it : Budget.takeDropped(second))
     writeLine(LogLevel::Warn, "log_dropped",
--- a/src/libfleet/reporting/logging.h
+++ b/src/libfleet/reporting/logging.h
@@ -10,8 +10,8 @@
 enum class LogLevel { Debug, Info, Warn, Error };
 
 /// Sends all later log lines to standard output as JSON, one object a line.
-/// Lines beyond a budget a second, and those that would have to wait for a slow
-/// reader, are left out and counted.
+/// Lines that exceed the limit per second, or that would block on a slow
+/// reader, are dropped and counted.
 void startLogging(const std::string &node, const std::string &level);
 
 void setLogLevel(const std::string &level);
