--- a/src/libfleet/reporting/metrics.cpp
+++ b/src/libfleet/reporting/metrics.cpp
@@ -36,7 +36,7 @@
   return counterFamily(registry, name, help).Add({});
 }
 
-/// Sets a counter that is counted elsewhere; it never falls.
+/// Raises a counter to a value that is counted elsewhere; it never decreases.
 void setCounter(prometheus::Counter &counter, double value) {
   counter.Increment(std::max(value - counter.Value(), 0.0));
 }
@@ -50,7 +50,7 @@
   return double(time.tv_sec) + double(time.tv_usec) / microsPerSecond;
 }
 
-/// The series of one service, looked up by their labels only once.
+/// The series of one service, cached to look up their labels only once.
 struct ServiceSeries {
   std::map<int, prometheus::Counter *> Answers;
   prometheus::Histogram *Latency = nullptr;
--- a/src/libfleet/reporting/metrics.h
+++ b/src/libfleet/reporting/metrics.h
@@ -19,7 +19,7 @@
 /// Parts of a request's time at a gate.
 enum class Stage { Queued, AtEndpoint };
 
-/// What a node knows of itself at the time of a scrape.
+/// A node's state at the time of a scrape.
 struct NodeGauges {
   std::map<std::string, int> MembersByState;
   double SettingsVersion = 0;
@@ -28,7 +28,7 @@
   bool IsSourceReachable = false;
 };
 
-/// What a node counts. Safe to use from every thread.
+/// A node's metrics. Thread-safe.
 class Metrics {
 public:
   Metrics();
@@ -45,7 +45,8 @@
   void countLogFailure(const std::string &call);
   TrafficCounters &traffic() { return Traffic; }
 
-  /// Prometheus text format, with figures of the process as they are now.
+  /// Returns all metrics in the Prometheus text format, with the process's
+  /// current resource usage.
   std::string text(const NodeGauges &node) const;
 
 private:
--- a/src/libfleet/reporting/trafficcounters.h
+++ b/src/libfleet/reporting/trafficcounters.h
@@ -8,19 +8,19 @@
 
 namespace hickoryglade::fleet {
 
-/// Why bytes go from one node to another.
+/// Why a node sends bytes to another node.
 enum class TrafficCause {
-  /// Heads of requests and their bodies.
+  /// Headers and bodies of requests.
   Requests,
-  /// Heads of answers and their bodies.
+  /// Headers and bodies of answers.
   Answers,
   /// Tickets, grants and withdrawals.
   Tickets,
   /// Refusals and failures.
   Refusals,
-  /// Introductions and heartbeats of links.
+  /// Handshakes and heartbeats of links.
   Links,
-  /// What became of attempts whose link was lost.
+  /// Queries for the outcome of attempts whose link was lost.
   Questions,
   Settings,
   Keys,
@@ -32,13 +32,14 @@
 
 std::string_view toString(TrafficCause cause);
 
-/// Bytes that a node has sent to others, without those of TCP and IP. Safe to
-/// use from every thread.
+/// Counts the bytes that a node sends to other nodes, without TCP and IP
+/// overhead. Thread-safe.
 class TrafficCounters {
 public:
   void add(TrafficCause cause, bool isFar, std::size_t bytes);
 
-  /// Bytes so far, to nodes of other data centres or of the own one.
+  /// Returns the bytes sent so far to nodes of other data centres (far) or of
+  /// the same one.
   std::uint64_t bytes(TrafficCause cause, bool isFar) const;
 
 private:
