--- a/src/hickorygladectl/adminclient.h
+++ b/src/hickorygladectl/adminclient.h
@@ -9,13 +9,14 @@
 
 namespace hickoryglade::ctl {
 
-/// Answer of a node to an operator's question.
+/// A node's answer to an admin request.
 struct AdminReply {
   int Status = 0;
   nlohmann::json Body;
 };
 
-/// Asks a node; fails if it cannot be reached or does not answer in time.
+/// Sends a request to a node's admin address. Fails if the node is unreachable
+/// or does not answer in time.
 absl::StatusOr<AdminReply> sendAdminRequest(const std::string &address,
                                             const std::string &method,
                                             const std::string &target,
--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -36,7 +36,8 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-/// Reads the value that the options name; explains what is wrong with it.
+/// Loads the value that the options name. Prints an error and returns nothing
+/// if it is invalid.
 std::optional<json> loadValue(const Options &options) {
   if (options.IsRemoval)
     return json();
@@ -82,7 +83,8 @@
   return out.str();
 }
 
-/// Members that are alive but have not read up to a revision.
+/// Returns members that are neither dead nor leaving and have not read up to a
+/// revision.
 std::vector<std::string> laggingMembers(const json &report,
                                         std::int64_t revision) {
   std::vector<std::string> nodes;
@@ -93,7 +95,8 @@
   return nodes;
 }
 
-/// Waits until every member has a revision in force.
+/// Waits until every member has a revision in force; returns those that are
+/// still behind at the end of the wait.
 std::vector<std::string> awaitMembers(const Options &options,
                                       std::int64_t revision) {
   auto until = Clock::now() + options.Wait;
--- a/src/hickorygladectl/commands.h
+++ b/src/hickorygladectl/commands.h
@@ -4,7 +4,7 @@
 
 namespace hickoryglade::ctl {
 
-// Each gives the program's exit status.
+// Each returns the program's exit status.
 int publish(const Options &options);
 int get(const Options &options);
 int validate(const Options &options);
--- a/src/hickorygladectl/main.cpp
+++ b/src/hickorygladectl/main.cpp
@@ -6,7 +6,7 @@
 #include <iostream>
 #include <string_view>
 
-/// The operators' tool.
+/// The operators' command-line tool.
 
 namespace {
 
--- a/src/hickorygladectl/options.h
+++ b/src/hickorygladectl/options.h
@@ -18,7 +18,7 @@
   ExitNotFound = 7,
 };
 
-/// What the command line asks for.
+/// The parsed command line.
 struct Options {
   std::string Node = "127.0.0.1:9200";
   std::string Command;
@@ -35,7 +35,7 @@
 
 extern const char *const Usage;
 
-/// Gives an exit status if the program should end at once.
+/// Returns an exit status if the program should exit at once.
 std::optional<int> parseOptions(int argc, char **argv, Options &options);
 
 } // namespace hickoryglade::ctl
--- a/src/hickorygladectl/requesttrace.cpp
+++ b/src/hickorygladectl/requesttrace.cpp
@@ -28,7 +28,7 @@
 void RequestTrace::read(std::istream &in) {
   std::string text;
   while (std::getline(in, text)) {
-    // Collectors often put a time or a name before the line.
+    // Log collectors often prefix a line with a time or a name.
     std::size_t begin = text.find('{');
     if (begin == std::string::npos)
       continue;
--- a/src/hickorygladectl/requesttrace.h
+++ b/src/hickorygladectl/requesttrace.h
@@ -8,16 +8,16 @@
 
 namespace hickoryglade::ctl {
 
-/// Collects what the logs of several nodes say of one request.
+/// Collects the lines about one request from the logs of several nodes.
 class RequestTrace {
 public:
-  /// The id is the caller's own or the fleet's.
+  /// Takes the caller's id of the request or the fleet's.
   explicit RequestTrace(std::string id) : Id(std::move(id)) {}
 
-  /// Takes the lines of one log; lines that are not JSON are passed over.
+  /// Reads the lines of one log; skips lines that are not JSON.
   void read(std::istream &in);
 
-  /// Lines about the request in the order of time.
+  /// Returns the lines about the request, sorted by time.
   std::vector<nlohmann::json> lines() const;
 
 private:
@@ -25,7 +25,7 @@
   std::vector<nlohmann::json> All;
 };
 
-/// One line for people: time, node, event and the other fields.
+/// Formats a line as text: time, node, event and the other fields.
 std::string formatLine(const nlohmann::json &line);
 
 } // namespace hickoryglade::ctl
