--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -53,7 +53,8 @@
     text = all.str();
   }
   if (text.empty()) {
-    std::cerr << "hickorygladectl: give --value, --file or --remove\n";
+    std::cerr
+        << "hickorygladectl: one of --value, --file or --remove is required\n";
     return std::nullopt;
   }
   json value = json::parse(text, nullptr, false, true);
@@ -197,7 +198,7 @@
 
 int publish(const Options &options) {
   if (options.Arguments.size() != 1)
-    return reportUsageError("publish takes one path");
+    return reportUsageError("publish requires exactly one path");
   const std::string &path = options.Arguments[0];
   std::optional<json> value = loadValue(options);
   if (!value)
@@ -227,7 +228,7 @@
 
 int get(const Options &options) {
   if (options.Arguments.empty() || options.Arguments.size() > 2)
-    return reportUsageError("get takes a path and perhaps a key");
+    return reportUsageError("get requires a path and accepts one key");
   auto reply = sendAdminRequest(options.Node, "GET",
                                 "/v1/settings" + options.Arguments[0], "",
                                 RequestTimeout);
@@ -241,7 +242,7 @@
   if (options.Arguments.size() == 2) {
     const std::string &key = options.Arguments[1];
     if (!keys.contains(key)) {
-      std::cerr << key << ": not set here or above\n";
+      std::cerr << key << ": not set at this path or a parent of it\n";
       return ExitInvalid;
     }
     keys = json{{key, keys[key]}};
@@ -258,7 +259,7 @@
 
 int validate(const Options &options) {
   if (options.Arguments.size() != 1)
-    return reportUsageError("validate takes one path");
+    return reportUsageError("validate requires exactly one path");
   std::optional<json> value = loadValue(options);
   if (!value)
     return ExitUsage;
--- a/src/hickorygladectl/explain.cpp
+++ b/src/hickorygladectl/explain.cpp
@@ -9,7 +9,7 @@
 
 int explain(const Options &options) {
   if (options.Arguments.empty()) {
-    std::cerr << "hickorygladectl: explain needs the id of a request\n";
+    std::cerr << "hickorygladectl: explain requires the id of a request\n";
     return ExitUsage;
   }
   RequestTrace trace(options.Arguments.front());
