--- a/src/hickorygladed/main.cpp
+++ b/src/hickorygladed/main.cpp
@@ -10,7 +10,7 @@
 #include <iostream>
 #include <sstream>
 
-/// The daemon: reads its settings, runs a node until it is told to stop.
+/// The daemon: reads its settings and runs a node until a signal stops it.
 
 namespace {
 
@@ -42,7 +42,7 @@
   bool IsPrint = false;
 };
 
-/// Gives an exit status if the program should end at once.
+/// Returns an exit status if the program should exit at once.
 std::optional<int> parseOptions(int argc, char **argv, Options &options) {
   const option longOptions[] = {
       {"settings", required_argument, nullptr, 's'},
@@ -82,7 +82,7 @@
   return std::nullopt;
 }
 
-/// Gives nothing, after printing every fault, if the file cannot be used.
+/// Prints every fault and returns nothing if the file is invalid.
 std::optional<fleet::NodeSettings> loadSettings(const std::string &file) {
   std::ifstream in(file);
   if (!in) {
@@ -99,8 +99,8 @@
   return result.Settings;
 }
 
-/// Reads the settings file again. Only some settings can change while a node
-/// runs; the others are named, and wait for a restart.
+/// Reloads the settings file. Only some settings can change while a node runs;
+/// the log says whether others wait for a restart.
 void reload(const std::string &file, fleet::NodeSettings &settings,
             fleet::Node &node) {
   std::optional<fleet::NodeSettings> next = loadSettings(file);
@@ -116,7 +116,7 @@
   settings = *next;
 }
 
-/// Returns once the node is to stop.
+/// Handles signals; returns when the node should stop.
 void waitForStop(const sigset_t &signals, const std::string &file,
                  fleet::NodeSettings settings, fleet::Node &node) {
   int signal = SIGHUP;
