--- a/src/libfleet/base/address.h
+++ b/src/libfleet/base/address.h
@@ -6,7 +6,7 @@
 
 namespace hickoryglade::fleet {
 
-/// "IP:PORT" in parts.
+/// An address "IP:PORT", parsed.
 struct Address {
   std::string Ip;
   std::uint16_t Port = 0;
--- a/src/libfleet/base/clock.cpp
+++ b/src/libfleet/base/clock.cpp
@@ -11,8 +11,8 @@
 
 } // namespace
 
-// The steady clock stands still while the VM is suspended, which would make old
-// news look fresh.
+// The steady clock stops while the VM is suspended, which would make outdated
+// information look recent.
 Instant now() {
   timespec at{};
   clock_gettime(CLOCK_BOOTTIME, &at);
--- a/src/libfleet/base/clock.h
+++ b/src/libfleet/base/clock.h
@@ -4,13 +4,14 @@
 
 namespace hickoryglade::fleet {
 
-/// Present time on the kernel's axis; goes on while the VM is suspended.
+/// Current time of the kernel's boot clock, which keeps running while the VM is
+/// suspended.
 Instant now();
 
-/// Point of the steady clock that corresponds to an instant.
+/// Converts an instant to the steady clock.
 std::chrono::steady_clock::time_point toSteady(Instant at);
 
-/// Start time for a boot id: microseconds since the Unix epoch.
+/// Wall-clock time in microseconds since the Unix epoch.
 std::int64_t wallMicros();
 
 } // namespace hickoryglade::fleet
--- a/src/libfleet/base/listening.h
+++ b/src/libfleet/base/listening.h
@@ -8,7 +8,7 @@
 
 namespace hickoryglade::fleet {
 
-/// Opens an acceptor and takes an address "IP:PORT" for it, without listening
+/// Opens an acceptor and binds it to an address "IP:PORT", without listening
 /// yet.
 absl::Status bindAddress(tcp::acceptor &acceptor, const std::string &address);
 
--- a/src/libfleet/base/loop.cpp
+++ b/src/libfleet/base/loop.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Returns once the executor has been stopped.
+/// Runs handlers until the executor is stopped.
 void runUntilStopped(asio::io_context &io) {
   while (!io.stopped()) {
     try {
--- a/src/libfleet/base/loop.h
+++ b/src/libfleet/base/loop.h
@@ -7,8 +7,8 @@
 
 namespace hickoryglade::fleet {
 
-/// A thread that runs one executor. An exception that a handler lets out ends
-/// that handler only.
+/// An event loop on a thread of its own. An exception that a handler throws
+/// ends only that handler.
 class Loop {
 public:
   asio::io_context Io{1};
@@ -16,7 +16,7 @@
   void start();
   void stop();
 
-  /// Runs a function on this thread and waits for what it returns.
+  /// Runs a function on the loop's thread and returns its result.
   template <typename Function> auto call(Function function) {
     std::promise<decltype(function())> promise;
     asio::post(Io, [&] { promise.set_value(function()); });
--- a/src/libfleet/base/mailbox.h
+++ b/src/libfleet/base/mailbox.h
@@ -8,7 +8,7 @@
 
 namespace hickoryglade::fleet {
 
-/// Events for one waiting coroutine. Used from one thread only.
+/// A queue of events for one waiting coroutine. Not thread-safe.
 template <typename Event> class Mailbox {
 public:
   explicit Mailbox(const asio::any_io_executor &ex) : Timer(ex) {}
@@ -18,7 +18,7 @@
     Timer.cancel();
   }
 
-  /// Waits for the next event; gives nothing once the time is over.
+  /// Waits for the next event; returns nothing if none arrives in time.
   asio::awaitable<std::optional<Event>> next(Instant until) {
     while (Events.empty() && now() < until) {
       error_code ec;
