--- a/tests/logs/test_logs.cpp
+++ b/tests/logs/test_logs.cpp
@@ -10,7 +10,7 @@
 using namespace hickoryglade;
 using fleet::LogBudget;
 
-TEST_CASE("an exception that a handler lets out ends that handler only") {
+TEST_CASE("an exception thrown by a handler ends only that handler") {
   fleet::Loop loop;
   loop.start();
   fleet::asio::post(loop.Io, [] { throw std::runtime_error("a test"); });
@@ -18,7 +18,7 @@
   loop.stop();
 }
 
-TEST_CASE("lines of one event are bounded and what is left out is told") {
+TEST_CASE("lines of one event are limited and dropped lines are reported") {
   LogBudget budget;
   int written = 0;
   for (int i = 0; i < 1'000; ++i)
@@ -32,7 +32,7 @@
   CHECK(budget.tryAcquire("route", false, 2));
 }
 
-TEST_CASE("failures have the larger budget") {
+TEST_CASE("failures have a higher limit") {
   LogBudget budget;
   int written = 0;
   for (int i = 0; i < 1'000; ++i)
@@ -40,7 +40,7 @@
   CHECK(written == 400);
 }
 
-TEST_CASE("a request's story is found by the caller's id, in order of time") {
+TEST_CASE("a request's lines are found by the caller's id and sorted by time") {
   std::istringstream entry(
       "12.5 a {\"time\":\"2\",\"node\":\"a\",\"event\":\"answered\","
       "\"request\":\"r-1\",\"caller_id\":\"c\",\"status\":502}\n"
