--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -114,12 +114,12 @@
 }
 
 void PlatformFleet::configure(const json &config) {
-  auto isTaken = [&] {
+  auto isAccepted = [&] {
     return callOnce(Store, {"POST", "/_operator", {}, config.dump()},
                     CallTimeout)
                .Status == 200;
   };
-  TestFleet::await("configuration", isTaken);
+  TestFleet::await("configuration", isAccepted);
 }
 
 json PlatformFleet::controlStore(const json &change) {
--- a/tests/platform/platformfleet.h
+++ b/tests/platform/platformfleet.h
@@ -11,8 +11,8 @@
 
 namespace hickoryglade::testing {
 
-/// Real nodes on stand-ins of the users' platform: the store, and a server
-/// beside each node.
+/// Runs real nodes with stand-ins for the users' platform: the store, and a
+/// server beside each node.
 class PlatformFleet {
 public:
   PlatformFleet();
@@ -25,25 +25,25 @@
     std::string Ready;
   };
 
-  /// Between the announcements of servers that are started from now on.
+  /// Sets the heartbeat period of servers that are started from now on.
   void setHeartbeatMs(int heartbeatMs) { HeartbeatMs = heartbeatMs; }
 
   void startStore();
   void startNode(const std::string &name, const std::string &service = "s");
-  /// A server of the node's service, reached only by that node.
+  /// Starts a server that only the given node reaches.
   void startServer(const std::string &node, const std::string &service = "s");
 
-  /// Puts a configuration as the operator does.
+  /// Publishes a configuration as the operator does.
   void configure(const nlohmann::json &config);
   nlohmann::json controlStore(const nlohmann::json &change);
   nlohmann::json controlServer(const std::string &node,
                                const nlohmann::json &change);
 
-  /// One client attempt; each has an id of its own.
+  /// Sends one client attempt with an id of its own.
   HttpReply call(const std::string &node, const std::string &method,
                  const std::string &target, const std::string &body = "");
   int readiness(const std::string &node);
-  /// Runs of the latest attempt over all servers.
+  /// Returns how often the servers have run the latest attempt in total.
   int runsOfLastAttempt();
   const std::string &lastId() const { return LastId; }
 
@@ -67,8 +67,8 @@
   int HeartbeatMs = 200;
 };
 
-/// A configuration with a safe route at /safe/ and one that is not idempotent
-/// at /once/, both to a service.
+/// Returns a configuration with a safe route at /safe/ and a non-idempotent one
+/// at /once/, both to the given service.
 nlohmann::json defaultConfig(int version, const std::string &service = "s");
 
 } // namespace hickoryglade::testing
--- a/tests/platform/serverstandin.cpp
+++ b/tests/platform/serverstandin.cpp
@@ -6,8 +6,8 @@
 #include <map>
 
 /// Stand-in for a server of the users' platform: sends heartbeats to the node
-/// on its machine, runs requests and says what it saw. POST /_control switches
-/// faults on and off.
+/// on its VM, runs requests and reports what it received. POST /_control
+/// switches faults on and off.
 
 namespace hickoryglade::standins {
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Longer than any caller of the tests waits.
+/// Longer than the time-out of any caller in the tests.
 constexpr Millis HangTime{20'000};
 
 struct Identity {
--- a/tests/platform/storestandin.cpp
+++ b/tests/platform/storestandin.cpp
@@ -8,7 +8,7 @@
 
 /// Stand-in for the platform's metadata store: keyed topics with appends, long
 /// polls and the newest value of each key. POST /_control switches faults on
-/// and off; POST /_operator puts the operator's configuration.
+/// and off; POST /_operator publishes the operator's configuration.
 
 namespace hickoryglade::standins {
 
@@ -155,7 +155,7 @@
   }
 
   std::map<std::string, Topic> Topics;
-  /// ok, busy (503) or silent.
+  /// One of ok, busy (answers 503) and silent (does not answer).
   std::string Mode = "ok";
   int LostAnswers = 0;
   std::size_t First = 0;
