--- a/tests/platform/test_codecs.cpp
+++ b/tests/platform/test_codecs.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-/// Bytes that a parser must survive, made from good ones: cut short, with
-/// bytes changed, doubled or dropped.
+/// Corrupts valid input for a parser: truncates it, or changes, duplicates or
+/// removes bytes.
 std::string corrupt(std::string text, Random &rng) {
   std::uint64_t changes = 1 + uniform(rng, 4);
   for (std::uint64_t i = 0; i < changes && !text.empty(); ++i) {
@@ -85,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration becomes a tree of settings") {
+TEST_CASE("a configuration is translated into a settings tree") {
   std::vector<SettingsFault> faults;
   auto document = parseConfig(validConfig().dump(), faults);
   REQUIRE(document);
@@ -109,7 +109,8 @@
   CHECK(routes.find("x.example", "/q") == nullptr);
 }
 
-TEST_CASE("each kind of route says whether requests may be repeated") {
+TEST_CASE(
+    "the kind of a route determines whether its requests are idempotent") {
   for (const auto &[kind, isIdempotent] : std::map<std::string, bool>{
            {"safe", true}, {"download", true}, {"non_idempotent", false}}) {
     json config = validConfig();
@@ -125,7 +126,8 @@
   }
 }
 
-TEST_CASE("a stop lasts as long as the platform gives it, but for its end") {
+TEST_CASE(
+    "the drain limit is the grace period less linger and shutdown margin") {
   fleet::NodeSettings settings;
   settings.Linger = Millis(2'500);
   settings.DrainLimit = Millis(2'800);
@@ -136,17 +138,17 @@
   CHECK(fitSettings(settings).DrainLimit == Millis(0));
 }
 
-TEST_CASE("a node's record names its address and data centre") {
+TEST_CASE("a node's record holds its address and data centre") {
   fleet::DirectoryEntry entry{"10.0.0.9:7600", "zone-a"};
   CHECK(decodeEntry(encodeEntry(entry)) == entry);
-  // As nodes of the release before wrote it.
+  // The format of the previous release.
   CHECK(decodeEntry("10.0.0.9:7600") ==
         fleet::DirectoryEntry{"10.0.0.9:7600", ""});
   for (const char *odd : {"", " ", "zone-a", "10.0.0.9 zone-a", "\xff\xfe"})
     CHECK_FALSE(decodeEntry(odd));
 }
 
-TEST_CASE("a fault names the path and the value") {
+TEST_CASE("a fault reports the path and the value") {
   json config = validConfig();
   config["listeners"][0]["route_rules"][1]["kind"] = "sometimes";
   std::vector<SettingsFault> faults;
@@ -157,8 +159,9 @@
   CHECK(versionOf("{\"version\":") == 0);
 }
 
-// Work of a second is not long where its target is three.
-TEST_CASE("what counts as long follows the longest target of a service") {
+// A request of one second is not long if its target latency is three seconds.
+TEST_CASE(
+    "requests are long above the longest target latency of their service") {
   json config = validConfig();
   json &rules = config["listeners"][0]["route_rules"];
   rules[0]["target_latency_s"] = 3;
@@ -166,35 +169,39 @@
   auto document = parseConfig(config.dump(), faults);
   REQUIRE(document);
   CHECK(document->Values["/shared/a"]["long_after_ms"] == 3'000);
-  // b takes a tenth of the split, and a route of half a second.
+  // b receives a tenth of the split and has a route with a target of 0.5 s.
   CHECK(document->Values["/shared/b"]["long_after_ms"] == 3'000);
 }
 
-TEST_CASE("a configuration with any fault is refused whole") {
+TEST_CASE("a configuration with any fault is rejected as a whole") {
   json config = validConfig();
   json &rule = config["listeners"][0]["route_rules"][1];
   SECTION("unknown service") { rule["action"]["service"] = "c"; }
-  SECTION("odd kind") { rule["kind"] = "sometimes"; }
-  SECTION("no name") { rule.erase("name"); }
+  SECTION("unknown kind") { rule["kind"] = "sometimes"; }
+  SECTION("missing name") { rule.erase("name"); }
   SECTION("time-out of a day") { rule["action"]["timeout_s"] = 86'400; }
-  SECTION("time-out that is no number") { rule["action"]["timeout_s"] = "1"; }
+  SECTION("time-out that is not a number") {
+    rule["action"]["timeout_s"] = "1";
+  }
   SECTION("negative time-out") { rule["action"]["timeout_s"] = -1; }
-  SECTION("two rules of one name") {
+  SECTION("two rules with the same name") {
     rule["name"] = "r1";
     rule["action"]["service"] = "a";
   }
-  SECTION("no limits") { config.erase("limits"); }
-  SECTION("no version") { config.erase("version"); }
-  SECTION("version is a text") { config["version"] = "8"; }
-  SECTION("routes are no list") { config["listeners"] = json::object(); }
-  SECTION("no weight") {
+  SECTION("missing limits") { config.erase("limits"); }
+  SECTION("missing version") { config.erase("version"); }
+  SECTION("version that is a string") { config["version"] = "8"; }
+  SECTION("listeners that are not a list") {
+    config["listeners"] = json::object();
+  }
+  SECTION("empty traffic split") {
     config["listeners"][0]["route_rules"][0]["action"]["traffic_split"] =
         json::array();
   }
   CHECK(isRefused(config));
 }
 
-TEST_CASE("heartbeats become announcements, or are refused with a reason") {
+TEST_CASE("heartbeats are parsed to announcements or rejected as malformed") {
   auto message = parseEndpointMessage(heartbeatRequest(validHeartbeat()));
   REQUIRE(std::holds_alternative<Announcement>(message));
   const auto &facts = std::get<Announcement>(message);
@@ -218,7 +225,7 @@
   CHECK(std::holds_alternative<std::monostate>(parseEndpointMessage(other)));
 }
 
-TEST_CASE("settings that are printed are read again as they were") {
+TEST_CASE("printed node settings parse to the same settings") {
   const std::string text = R"({"node": "n1", "data_centre": "dc-1",
     "listen": {"http": "127.0.0.1:1", "fleet": "127.0.0.1:2",
                "admin": "127.0.0.1:3", "metrics": "127.0.0.1:4"},
@@ -232,7 +239,7 @@
   CHECK(again.Settings.MetricsAddress == "127.0.0.1:4");
 }
 
-TEST_CASE("records keep their keys and values") {
+TEST_CASE("encoded records decode to the same keys and values") {
   std::string bytes = std::string(16, '\0') + encodeRecord({"k", "value"}) +
                       encodeRecord({"gone", ""});
   auto records = decodeRecords(bytes, 5);
@@ -244,7 +251,7 @@
   CHECK_FALSE(decodeRecords(bytes.substr(0, bytes.size() - 1), 5));
 }
 
-TEST_CASE("pages of a table are read or refused") {
+TEST_CASE("table pages are decoded and malformed ones rejected") {
   json page = {{"items",
                 {{{"key", "config"},
                   {"value", absl::Base64Escape("{}")},
@@ -261,7 +268,7 @@
   CHECK_FALSE(decodePage("[]"));
 }
 
-TEST_CASE("bounds become settings of the root") {
+TEST_CASE("the platform's bounds become settings of the root") {
   json root =
       rootFromBounds({{"retry_budget_ratio", 0.2}, {"retry_budget_slack", 58}});
   CHECK(root["retry_budget_percent"] <= 20);
@@ -270,7 +277,7 @@
   CHECK(rootFromBounds({}).empty());
 }
 
-TEST_CASE("an answer belongs to a request by its id and proof") {
+TEST_CASE("an answer is matched to its request by id and proof header") {
   fleet::HttpDialect dialect = makeDialect();
   auto answer = [](int status, std::vector<fleet::HttpHeader> headers) {
     return fleet::HttpAnswer{status, std::move(headers),
@@ -300,7 +307,7 @@
   CHECK(formatRetryAfter(fleet::ownDialect(), Millis(1'050)) == "2");
 }
 
-TEST_CASE("parsers survive spoiled bytes") {
+TEST_CASE("parsers handle corrupted input") {
   Random rng(20'261'204);
   std::string config = validConfig().dump();
   std::string records =
