--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -13,7 +13,8 @@
 
 constexpr auto CallTimeout = std::chrono::milliseconds(3'000);
 
-/// Two nodes with a server each and one whose server is of another service.
+/// Starts two nodes with a server each, and a third whose server belongs to
+/// another service.
 void startAll(PlatformFleet &fleet) {
   fleet.startStore();
   for (const char *node : {"n1", "n2"}) {
@@ -35,7 +36,8 @@
 
 } // namespace
 
-TEST_CASE("a node without settings is not ready and refuses", "[platform]") {
+TEST_CASE("a node without settings is not ready and rejects requests",
+          "[platform]") {
   PlatformFleet fleet;
   fleet.startStore();
   fleet.startNode("n1");
@@ -46,7 +48,8 @@
   CHECK_FALSE(reply.header("Retry-After").empty());
 }
 
-TEST_CASE("requests reach servers as they were sent", "[platform]") {
+TEST_CASE("requests reach servers with target and body unchanged",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   HttpReply reply = fleet.call("n3", "POST", "/once/a?b=c", "the body");
@@ -70,7 +73,8 @@
   CHECK(fleet.call("n1", "GET", "/nowhere/").Status == 404);
 }
 
-TEST_CASE("settings follow the operator and never go back", "[platform]") {
+TEST_CASE("nodes apply newer configurations and ignore older or invalid ones",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   auto servedBy = [&](const std::string &server) {
@@ -80,9 +84,9 @@
   TestFleet::await(
       "the route has moved", [&] { return servedBy("i-n3"); }, 2'000);
   fleet.configure(defaultConfig(5, "s"));
-  json odd = defaultConfig(9, "s");
-  odd["listeners"][0]["route_rules"][0]["kind"] = "odd";
-  fleet.configure(odd);
+  json invalid = defaultConfig(9, "s");
+  invalid["listeners"][0]["route_rules"][0]["kind"] = "odd";
+  fleet.configure(invalid);
   fleet.configure(defaultConfig(11, "unknown"));
   for (int i = 0; i < 20; ++i)
     CHECK(servedBy("i-n3"));
@@ -91,7 +95,7 @@
       "the route is back", [&] { return !servedBy("i-n3"); }, 2'000);
 }
 
-TEST_CASE("nodes serve while the store is away and follow when it is back",
+TEST_CASE("nodes serve without the store and apply settings once it returns",
           "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
@@ -109,7 +113,7 @@
   });
 }
 
-TEST_CASE("a server that leaves gets nothing once that is acknowledged",
+TEST_CASE("a server gets no requests once its departure is acknowledged",
           "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
@@ -124,7 +128,7 @@
   CHECK(fleet.controlServer("n1", json::object())["arrivals"] == before);
 }
 
-TEST_CASE("work that may have run is not repeated unless it is safe",
+TEST_CASE("a request that may have run is retried only on a safe route",
           "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
@@ -134,13 +138,14 @@
   CHECK(once.Status == 502);
   CHECK(fleet.runsOfLastAttempt() == 1);
   fleet.controlServer("n1", {{"fault", ""}});
-  TestFleet::await("the sound server to be trusted", [&] {
+  TestFleet::await("the recovered server to serve", [&] {
     return fleet.call("n3", "GET", "/safe/x").Status == 200;
   });
   CHECK(countServed(fleet, 20) == 20);
 }
 
-TEST_CASE("a refusal by all servers says that nothing has run", "[platform]") {
+TEST_CASE("a request that all servers shed is answered 503 without a run",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   for (const char *node : {"n1", "n2"})
@@ -153,8 +158,7 @@
   CHECK(wait <= 0.5);
 }
 
-TEST_CASE("only an answer that is the server's own reaches a client",
-          "[platform]") {
+TEST_CASE("stray and unsigned answers do not reach a client", "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   auto callWith = [&](const std::string &fault) {
@@ -169,8 +173,7 @@
   CHECK(unsignedReply.Body.find(":mine") == std::string::npos);
 }
 
-TEST_CASE("after all nodes are killed they find each other again",
-          "[platform]") {
+TEST_CASE("nodes rejoin after all of them were killed", "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   for (const char *node : {"n1", "n2", "n3"}) {
@@ -184,7 +187,8 @@
   CHECK(countServed(fleet, 20) == 20);
 }
 
-TEST_CASE("bad messages name no server and harm nothing", "[platform]") {
+TEST_CASE("malformed heartbeats and requests are rejected without side effects",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   auto heartbeat = [&](const std::string &id, const std::string &body) {
@@ -212,8 +216,7 @@
   CHECK(countServed(fleet, 20) == 20);
 }
 
-TEST_CASE("a stop under load loses nothing, SIGHUP changes nothing",
-          "[platform]") {
+TEST_CASE("no request fails during a graceful stop or SIGHUP", "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   fleet.process("n2").signal(SIGHUP);
@@ -227,8 +230,10 @@
   CHECK(countServed(fleet, 10) == 10);
 }
 
-// Deadlines are longer than a stop may last, and no slot becomes free.
-TEST_CASE("a node that ends answers what it could not finish", "[platform]") {
+// The deadlines exceed the drain limit and no slot becomes free, so requests
+// are queued and in flight when the node exits.
+TEST_CASE("a stopping node answers requests that it could not finish",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   json config = defaultConfig(2);
@@ -283,7 +288,8 @@
   CHECK(unknown == slots);
 }
 
-TEST_CASE("status and metrics say what a node knows and why", "[platform]") {
+TEST_CASE("status and metrics report a node's state and its reasons",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   fleet.controlServer("n1", {{"fault", "reset"}});
