--- a/src/libfleet/reporting/logging.cpp
+++ b/src/libfleet/reporting/logging.cpp
@@ -65,7 +65,7 @@
   return it;
 }
 
-std::mutex BudgetGuard;
+std::mutex BudgetMutex;
 LogBudget Budget;
 
 std::int64_t currentSecond() {
@@ -108,7 +108,7 @@
               const nlohmann::json &fields) {
   if (!isLogged(level))
     return;
-  std::lock_guard guard(BudgetGuard);
+  std::lock_guard guard(BudgetMutex);
   std::int64_t second = currentSecond();
   reportDropped(second);
   if (Budget.tryAcquire(std::string(event), level >= LogLevel::Warn, second))
