--- a/src/libfleet/reporting/metrics.cpp
+++ b/src/libfleet/reporting/metrics.cpp
@@ -116,7 +116,7 @@
     return it->second;
   }
 
-  std::mutex Lock;
+  std::mutex Mutex;
   std::map<std::string, ServiceSeries> Series;
   prometheus::Family<prometheus::Counter> &Answers;
   prometheus::Family<prometheus::Counter> &Errors;
@@ -144,7 +144,7 @@
 
 void Metrics::countAnswer(const std::string &service, int status,
                           double seconds) {
-  std::lock_guard lock(All->Lock);
+  std::lock_guard lock(All->Mutex);
   ServiceSeries &series = All->seriesOf(service);
   prometheus::Counter *&answers = series.Answers[status];
   if (!answers)
@@ -156,7 +156,7 @@
 
 void Metrics::observeStage(const std::string &service, Stage stage,
                            Micros time) {
-  std::lock_guard lock(All->Lock);
+  std::lock_guard lock(All->Mutex);
   ServiceSeries &series = All->seriesOf(service);
   (stage == Stage::Queued ? series.Queued : series.AtEndpoint)
       ->Observe(secondsOf(time));
