--- a/src/hickorygladectl/requesttrace.h
+++ b/src/hickorygladectl/requesttrace.h
@@ -25,7 +25,7 @@
   std::vector<nlohmann::json> All;
 };
 
-/// Formats a line as text: time, node, event and the other fields.
+/// Formats a line as text: time, node, event and the other fields except level.
 std::string formatLine(const nlohmann::json &line);
 
 } // namespace hickoryglade::ctl
