--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -17,17 +17,17 @@
 using nlohmann::json;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds AskLimit{3'000};
-constexpr std::chrono::milliseconds PublishLimit{12'000};
+constexpr std::chrono::milliseconds RequestTimeout{3'000};
+constexpr std::chrono::milliseconds PublishTimeout{12'000};
 constexpr std::chrono::milliseconds PollPeriod{100};
 constexpr std::chrono::milliseconds WatchPeriod{500};
 
-int complain(const absl::Status &status) {
+int reportUnreachable(const absl::Status &status) {
   std::cerr << "hickorygladectl: " << status.message() << "\n";
   return ExitUnreachable;
 }
 
-int misuse(const std::string &reason) {
+int reportUsageError(const std::string &reason) {
   std::cerr << "hickorygladectl: " << reason << "\n";
   return ExitUsage;
 }
@@ -36,7 +36,8 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-/// Reads the value that the options name; explains what is wrong with it.
+/// Loads the value that the options name. Prints an error and returns nothing
+/// if it is invalid.
 std::optional<json> loadValue(const Options &options) {
   if (options.IsRemoval)
     return json();
@@ -52,7 +53,8 @@
     text = all.str();
   }
   if (text.empty()) {
-    std::cerr << "hickorygladectl: give --value, --file or --remove\n";
+    std::cerr
+        << "hickorygladectl: one of --value, --file or --remove is required\n";
     return std::nullopt;
   }
   json value = json::parse(text, nullptr, false, true);
@@ -82,8 +84,10 @@
   return out.str();
 }
 
-/// Members that are alive but have not read up to a revision.
-std::vector<std::string> lagging(const json &report, std::int64_t revision) {
+/// Returns members that are neither dead nor leaving and have not read up to a
+/// revision.
+std::vector<std::string> laggingMembers(const json &report,
+                                        std::int64_t revision) {
   std::vector<std::string> nodes;
   for (const json &it : report["members"])
     if (it["state"] != "dead" && !it["leaving"].get<bool>() &&
@@ -92,15 +96,17 @@
   return nodes;
 }
 
-/// Waits until every member has a revision in force.
+/// Waits until every member has a revision in force; returns those that are
+/// still behind at the end of the wait.
 std::vector<std::string> awaitMembers(const Options &options,
                                       std::int64_t revision) {
   auto until = Clock::now() + options.Wait;
   std::vector<std::string> behind{options.Node};
   while (!behind.empty()) {
-    auto reply = askNode(options.Node, "GET", "/v1/status", "", AskLimit);
+    auto reply =
+        sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
     if (reply.ok() && reply->Status == 200)
-      behind = lagging(reply->Body, revision);
+      behind = laggingMembers(reply->Body, revision);
     if (behind.empty() || Clock::now() >= until)
       break;
     std::this_thread::sleep_for(PollPeriod);
@@ -144,7 +150,7 @@
                                                      : ExitUnreachable;
 }
 
-json summary(const json &report) {
+json withoutVolatileFields(const json &report) {
   json copy = report;
   copy.erase("gossip_bytes_sent");
   for (json &it : copy["quarantine"])
@@ -192,17 +198,17 @@
 
 int publish(const Options &options) {
   if (options.Arguments.size() != 1)
-    return misuse("publish takes one path");
+    return reportUsageError("publish requires exactly one path");
   const std::string &path = options.Arguments[0];
   std::optional<json> value = loadValue(options);
   if (!value)
     return ExitUsage;
   std::int64_t base = options.Base.value_or(0);
   if (!options.Base) {
-    auto present =
-        askNode(options.Node, "GET", "/v1/settings" + path, "", AskLimit);
+    auto present = sendAdminRequest(options.Node, "GET", "/v1/settings" + path,
+                                    "", RequestTimeout);
     if (!present.ok())
-      return complain(present.status());
+      return reportUnreachable(present.status());
     if (present->Status != 200)
       return reportVerdict(options, *present);
     base = present->Body["revision"].get<std::int64_t>();
@@ -213,20 +219,21 @@
                  {"base", base},
                  {"value", *value},
                  {"author", user ? user : ""}};
-  auto reply =
-      askNode(options.Node, "POST", "/v1/changes", change.dump(), PublishLimit);
+  auto reply = sendAdminRequest(options.Node, "POST", "/v1/changes",
+                                change.dump(), PublishTimeout);
   if (!reply.ok())
-    return complain(reply.status());
+    return reportUnreachable(reply.status());
   return reportVerdict(options, *reply);
 }
 
 int get(const Options &options) {
   if (options.Arguments.empty() || options.Arguments.size() > 2)
-    return misuse("get takes a path and perhaps a key");
-  auto reply = askNode(options.Node, "GET",
-                       "/v1/settings" + options.Arguments[0], "", AskLimit);
+    return reportUsageError("get requires a path and accepts one key");
+  auto reply = sendAdminRequest(options.Node, "GET",
+                                "/v1/settings" + options.Arguments[0], "",
+                                RequestTimeout);
   if (!reply.ok())
-    return complain(reply.status());
+    return reportUnreachable(reply.status());
   if (reply->Status != 200) {
     std::cerr << textOf(reply->Body.value("error", json("refused"))) << "\n";
     return ExitInvalid;
@@ -235,7 +242,7 @@
   if (options.Arguments.size() == 2) {
     const std::string &key = options.Arguments[1];
     if (!keys.contains(key)) {
-      std::cerr << key << ": not set here or above\n";
+      std::cerr << key << ": not set at this path or a parent of it\n";
       return ExitInvalid;
     }
     keys = json{{key, keys[key]}};
@@ -252,7 +259,7 @@
 
 int validate(const Options &options) {
   if (options.Arguments.size() != 1)
-    return misuse("validate takes one path");
+    return reportUsageError("validate requires exactly one path");
   std::optional<json> value = loadValue(options);
   if (!value)
     return ExitUsage;
@@ -267,9 +274,10 @@
 }
 
 int status(const Options &options) {
-  auto reply = askNode(options.Node, "GET", "/v1/status", "", AskLimit);
+  auto reply =
+      sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
   if (!reply.ok())
-    return complain(reply.status());
+    return reportUnreachable(reply.status());
   printStatus(reply->Body, options.IsJson);
   return ExitDone;
 }
@@ -277,11 +285,12 @@
 int watch(const Options &options) {
   json last;
   for (int n = 0; options.Count == 0 || n < options.Count;) {
-    auto reply = askNode(options.Node, "GET", "/v1/status", "", AskLimit);
+    auto reply =
+        sendAdminRequest(options.Node, "GET", "/v1/status", "", RequestTimeout);
     if (!reply.ok())
-      return complain(reply.status());
-    if (summary(reply->Body) != last) {
-      last = summary(reply->Body);
+      return reportUnreachable(reply.status());
+    if (withoutVolatileFields(reply->Body) != last) {
+      last = withoutVolatileFields(reply->Body);
       printStatus(reply->Body, options.IsJson);
       ++n;
     }
--- a/src/hickorygladectl/logstory.cpp
+++ b/src/hickorygladectl/requesttrace.cpp
@@ -1,4 +1,4 @@
-#include "hickorygladectl/logstory.h"
+#include "hickorygladectl/requesttrace.h"
 
 #include <algorithm>
 #include <array>
@@ -17,18 +17,18 @@
   return it->is_string() ? it->get<std::string>() : it->dump();
 }
 
-bool isHead(const std::string &key) {
-  constexpr std::array<std::string_view, 4> head = {"time", "node", "event",
-                                                    "level"};
-  return std::ranges::find(head, key) != head.end();
+bool isLeadingField(const std::string &key) {
+  constexpr std::array<std::string_view, 4> leading = {"time", "node", "event",
+                                                       "level"};
+  return std::ranges::find(leading, key) != leading.end();
 }
 
 } // namespace
 
-void LogStory::read(std::istream &in) {
+void RequestTrace::read(std::istream &in) {
   std::string text;
   while (std::getline(in, text)) {
-    // Collectors often put a time or a name before the line.
+    // Log collectors often prefix a line with a time or a name.
     std::size_t begin = text.find('{');
     if (begin == std::string::npos)
       continue;
@@ -38,7 +38,7 @@
   }
 }
 
-std::vector<json> LogStory::lines() const {
+std::vector<json> RequestTrace::lines() const {
   std::set<std::string> requests{Id};
   for (const json &it : All)
     if (textOf(it, "caller_id") == Id)
@@ -52,11 +52,11 @@
   return own;
 }
 
-std::string describeLine(const json &line) {
+std::string formatLine(const json &line) {
   std::string out = textOf(line, "time") + "  " + textOf(line, "node") + "  " +
                     textOf(line, "event");
   for (const auto &[key, value] : line.items())
-    if (!isHead(key))
+    if (!isLeadingField(key))
       out += "  " + key + "=" + textOf(line, key.c_str());
   return out;
 }
--- a/src/libfleet/entry/entry.cpp
+++ b/src/libfleet/entry/entry.cpp
@@ -240,7 +240,7 @@
                      context.Deadline - now(), context.Cost.Expected,
                      context.Runs, context.MatchedRoute.Policy.MaxAttempts},
                     budget);
-    Counters.countRetry(std::string(answer.Reason));
+    Counters.countRetryDecision(std::string(answer.Reason));
     logEvent(LogLevel::Warn, "attempt_failed",
              {{"request", context.Id},
               {"attempt", number},
--- a/src/libfleet/http/httpserver.cpp
+++ b/src/libfleet/http/httpserver.cpp
@@ -288,7 +288,7 @@
       Workers(std::move(workers)), OnFault(std::move(onFault)),
       State(std::make_shared<ServerState>()) {}
 
-absl::Status HttpServer::listen() { return takeAddress(Acceptor, Address); }
+absl::Status HttpServer::listen() { return bindAddress(Acceptor, Address); }
 
 void HttpServer::start() {
   error_code ec;
--- a/src/libfleet/peers/membershipservice.cpp
+++ b/src/libfleet/peers/membershipservice.cpp
@@ -188,7 +188,7 @@
   error_code ec;
   // Standings and settings are sent within the data centre only.
   bool isBroad = cause == TrafficCause::Membership;
-  Traffic.note(cause, isBroad && isFar(address), bytes.size());
+  Traffic.add(cause, isBroad && isFar(address), bytes.size());
   Socket.send_to(asio::buffer(bytes), *to, 0, ec);
 }
 
--- a/src/libfleet/reporting/logbudget.cpp
+++ b/src/libfleet/reporting/logbudget.cpp
@@ -6,22 +6,23 @@
 
 namespace {
 
-/// Lines a second of one event: a node at its usual peak of 400 requests/s
-/// writes each failure and half of the rest.
-constexpr int MostLines = 200;
-constexpr int MostFailureLines = 400;
+/// Limits for the lines of one event. At its usual peak of 400 requests/s, a
+/// node writes every failure and half of the other lines.
+constexpr int MaxLinesPerSecond = 200;
+constexpr int MaxFailureLinesPerSecond = 400;
 
 } // namespace
 
-bool LogBudget::take(const std::string &event, bool isFailure,
-                     std::int64_t second) {
+bool LogBudget::tryAcquire(const std::string &event, bool isFailure,
+                           std::int64_t second) {
   Count &count = ByEvent[event];
   if (count.Second != second) {
     count.Second = second;
     count.Written = 0;
   }
-  if (count.Written >= (isFailure ? MostFailureLines : MostLines)) {
-    ++count.Left;
+  if (count.Written >=
+      (isFailure ? MaxFailureLinesPerSecond : MaxLinesPerSecond)) {
+    ++count.Unreported;
     return false;
   }
   ++count.Written;
@@ -31,8 +32,8 @@
 std::vector<LogBudget::Dropped> LogBudget::takeDropped(std::int64_t second) {
   std::vector<Dropped> all;
   for (auto &[event, count] : ByEvent)
-    if (count.Left > 0 && count.Second < second)
-      all.push_back({event, std::exchange(count.Left, 0)});
+    if (count.Unreported > 0 && count.Second < second)
+      all.push_back({event, std::exchange(count.Unreported, 0)});
   return all;
 }
 
--- a/src/libfleet/reporting/logging.cpp
+++ b/src/libfleet/reporting/logging.cpp
@@ -29,7 +29,7 @@
   return spdlog::level::info;
 }
 
-/// The members of an object without its braces, behind a comma.
+/// Serialises the members of an object without its braces, after a comma.
 std::string membersOf(const nlohmann::json &fields) {
   if (!fields.is_object() || fields.empty())
     return "";
@@ -38,11 +38,11 @@
   return "," + text.substr(1, text.size() - 2);
 }
 
-/// Writes to standard output and never waits for its reader: a pipe that can be
-/// written takes a line of up to 4,096 bytes whole.
+/// Writes to standard output without blocking. A writable pipe accepts a line
+/// of up to 4,096 bytes whole.
 class OutputSink : public spdlog::sinks::base_sink<std::mutex> {
 public:
-  /// Lines that found no room.
+  /// Returns and resets the number of lines lost because the pipe was full.
   int takeLost() { return Lost.exchange(0); }
 
 protected:
@@ -65,10 +65,10 @@
   return it;
 }
 
-std::mutex BudgetGuard;
+std::mutex BudgetMutex;
 LogBudget Budget;
 
-std::int64_t presentSecond() {
+std::int64_t currentSecond() {
   auto since = std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::seconds>(since).count();
 }
@@ -78,7 +78,7 @@
   spdlog::log(toSpdlog(level), "\"event\":\"{}\"{}", event, membersOf(fields));
 }
 
-/// Says what was left out before this second.
+/// Logs how many lines were dropped before this second.
 void reportDropped(std::int64_t second) {
   for (const LogBudget::Dropped &it : Budget.takeDropped(second))
     writeLine(LogLevel::Warn, "log_dropped",
@@ -108,10 +108,10 @@
               const nlohmann::json &fields) {
   if (!isLogged(level))
     return;
-  std::lock_guard guard(BudgetGuard);
-  std::int64_t second = presentSecond();
+  std::lock_guard guard(BudgetMutex);
+  std::int64_t second = currentSecond();
   reportDropped(second);
-  if (Budget.take(std::string(event), level >= LogLevel::Warn, second))
+  if (Budget.tryAcquire(std::string(event), level >= LogLevel::Warn, second))
     writeLine(level, event, fields);
 }
 
--- a/src/libfleet/reporting/metrics.cpp
+++ b/src/libfleet/reporting/metrics.cpp
@@ -36,8 +36,8 @@
   return counterFamily(registry, name, help).Add({});
 }
 
-/// Sets a counter that is counted elsewhere; it never falls.
-void raiseTo(prometheus::Counter &counter, double value) {
+/// Raises a counter to a value that is counted elsewhere; it never decreases.
+void setCounter(prometheus::Counter &counter, double value) {
   counter.Increment(std::max(value - counter.Value(), 0.0));
 }
 
@@ -50,7 +50,7 @@
   return double(time.tv_sec) + double(time.tv_usec) / microsPerSecond;
 }
 
-/// The series of one service, looked up by their labels only once.
+/// The series of one service, cached to look up their labels only once.
 struct ServiceSeries {
   std::map<int, prometheus::Counter *> Answers;
   prometheus::Histogram *Latency = nullptr;
@@ -116,7 +116,7 @@
     return it->second;
   }
 
-  std::mutex Lock;
+  std::mutex Mutex;
   std::map<std::string, ServiceSeries> Series;
   prometheus::Family<prometheus::Counter> &Answers;
   prometheus::Family<prometheus::Counter> &Errors;
@@ -144,7 +144,7 @@
 
 void Metrics::countAnswer(const std::string &service, int status,
                           double seconds) {
-  std::lock_guard lock(All->Lock);
+  std::lock_guard lock(All->Mutex);
   ServiceSeries &series = All->seriesOf(service);
   prometheus::Counter *&answers = series.Answers[status];
   if (!answers)
@@ -156,7 +156,7 @@
 
 void Metrics::observeStage(const std::string &service, Stage stage,
                            Micros time) {
-  std::lock_guard lock(All->Lock);
+  std::lock_guard lock(All->Mutex);
   ServiceSeries &series = All->seriesOf(service);
   (stage == Stage::Queued ? series.Queued : series.AtEndpoint)
       ->Observe(secondsOf(time));
@@ -166,20 +166,20 @@
   All->Errors.Add({{"kind", kind}}).Increment();
 }
 
-void Metrics::countRetry(const std::string &reason) {
+void Metrics::countRetryDecision(const std::string &reason) {
   All->Retries.Add({{"reason", reason}}).Increment();
 }
 
-void Metrics::countStanding(const std::string &standing) {
+void Metrics::countStandingChange(const std::string &standing) {
   All->Standings.Add({{"standing", standing}}).Increment();
 }
 
-void Metrics::countSettings(const std::string &outcome) {
+void Metrics::countSettingsRecord(const std::string &outcome) {
   All->Settings.Add({{"outcome", outcome}}).Increment();
 }
 
-void Metrics::countLogFailure(const std::string &what) {
-  All->LogFailures.Add({{"call", what}}).Increment();
+void Metrics::countLogFailure(const std::string &call) {
+  All->LogFailures.Add({{"call", call}}).Increment();
 }
 
 std::string Metrics::text(const NodeGauges &node) const {
@@ -192,15 +192,15 @@
   for (std::size_t i = 0; i < TrafficCauses; ++i)
     for (bool isFar : {false, true}) {
       auto cause = static_cast<TrafficCause>(i);
-      raiseTo(All->Traffic.Add({{"cause", std::string(toString(cause))},
-                                {"scope", isFar ? "far" : "near"}}),
-              double(Traffic.bytes(cause, isFar)));
+      setCounter(All->Traffic.Add({{"cause", std::string(toString(cause))},
+                                   {"scope", isFar ? "far" : "near"}}),
+                 double(Traffic.bytes(cause, isFar)));
     }
   rusage used{};
   if (getrusage(RUSAGE_SELF, &used) == 0) {
     constexpr double bytesPerUnit = 1'024;
-    raiseTo(All->ProcessorTime,
-            secondsOf(used.ru_utime) + secondsOf(used.ru_stime));
+    setCounter(All->ProcessorTime,
+               secondsOf(used.ru_utime) + secondsOf(used.ru_stime));
     All->Memory.Set(double(used.ru_maxrss) * bytesPerUnit);
   }
   return prometheus::TextSerializer().Serialize(Registry->Collect());
--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr milliseconds AskLimit{3'000};
+constexpr milliseconds CallTimeout{3'000};
 
 std::string program(const std::string &name) {
   return std::string(HICKORYGLADE_BUILD) + "/" + name;
@@ -32,7 +32,7 @@
 
 } // namespace
 
-json usualConfig(int version, const std::string &service) {
+json defaultConfig(int version, const std::string &service) {
   json clusters = json::array();
   for (const char *name : {"s", "t"})
     clusters.push_back({{"name", name},
@@ -109,27 +109,28 @@
   Processes["server-" + node] =
       ChildProcess({program("tests/serverstandin"), "--listen", at, "--control",
                     Nodes.at(node).Admin, "--id", "i-" + node, "--service",
-                    service, "--beat-ms", std::to_string(BeatMs)},
+                    service, "--beat-ms", std::to_string(HeartbeatMs)},
                    file("server.err"));
 }
 
 void PlatformFleet::configure(const json &config) {
-  auto isTaken = [&] {
-    return callOnce(Store, {"POST", "/_operator", {}, config.dump()}, AskLimit)
+  auto isAccepted = [&] {
+    return callOnce(Store, {"POST", "/_operator", {}, config.dump()},
+                    CallTimeout)
                .Status == 200;
   };
-  TestFleet::await("configuration", isTaken);
+  TestFleet::await("configuration", isAccepted);
 }
 
 json PlatformFleet::controlStore(const json &change) {
   HttpReply reply =
-      callOnce(Store, {"POST", "/_control", {}, change.dump()}, AskLimit);
+      callOnce(Store, {"POST", "/_control", {}, change.dump()}, CallTimeout);
   return json::parse(reply.Body, nullptr, false);
 }
 
 json PlatformFleet::controlServer(const std::string &node, const json &change) {
   HttpReply reply = callOnce(
-      Servers.at(node), {"POST", "/_control", {}, change.dump()}, AskLimit);
+      Servers.at(node), {"POST", "/_control", {}, change.dump()}, CallTimeout);
   return json::parse(reply.Body, nullptr, false);
 }
 
@@ -145,15 +146,16 @@
                          {"Calling-Service", "forged"},
                          {"Remaining-Milliseconds", "1500"}},
                         body};
-  return callOnce(Nodes.at(node).Http, question, AskLimit);
+  return callOnce(Nodes.at(node).Http, question, CallTimeout);
 }
 
 int PlatformFleet::readiness(const std::string &node) {
-  return callOnce(Nodes.at(node).Ready, {"GET", "/readiness", {}, ""}, AskLimit)
+  return callOnce(Nodes.at(node).Ready, {"GET", "/readiness", {}, ""},
+                  CallTimeout)
       .Status;
 }
 
-int PlatformFleet::runsOfLast() {
+int PlatformFleet::runsOfLastAttempt() {
   int runs = 0;
   for (const auto &[node, address] : Servers) {
     json seen = controlServer(node, json::object());
--- a/tests/platform/platformfleet.h
+++ b/tests/platform/platformfleet.h
@@ -11,8 +11,8 @@
 
 namespace hickoryglade::testing {
 
-/// Real nodes on stand-ins of the users' platform: the store, and a server
-/// beside each node.
+/// Runs real nodes with stand-ins for the users' platform: the store, and a
+/// server beside each node.
 class PlatformFleet {
 public:
   PlatformFleet();
@@ -25,26 +25,26 @@
     std::string Ready;
   };
 
-  /// Between the announcements of servers that are started from now on.
-  void setBeatMs(int beatMs) { BeatMs = beatMs; }
+  /// Sets the heartbeat period of servers that are started from now on.
+  void setHeartbeatMs(int heartbeatMs) { HeartbeatMs = heartbeatMs; }
 
   void startStore();
   void startNode(const std::string &name, const std::string &service = "s");
-  /// A server of the node's service, reached only by that node.
+  /// Starts a server that only the given node reaches.
   void startServer(const std::string &node, const std::string &service = "s");
 
-  /// Puts a configuration as the operator does.
+  /// Publishes a configuration as the operator does.
   void configure(const nlohmann::json &config);
   nlohmann::json controlStore(const nlohmann::json &change);
   nlohmann::json controlServer(const std::string &node,
                                const nlohmann::json &change);
 
-  /// One client attempt; each has an id of its own.
+  /// Sends one client attempt with an id of its own.
   HttpReply call(const std::string &node, const std::string &method,
                  const std::string &target, const std::string &body = "");
   int readiness(const std::string &node);
-  /// Runs of the latest attempt over all servers.
-  int runsOfLast();
+  /// Returns how often the servers have run the latest attempt in total.
+  int runsOfLastAttempt();
   const std::string &lastId() const { return LastId; }
 
   ChildProcess &process(const std::string &name) { return Processes.at(name); }
@@ -64,11 +64,11 @@
   std::map<std::string, std::string> Servers;
   std::string LastId;
   int Attempts = 0;
-  int BeatMs = 200;
+  int HeartbeatMs = 200;
 };
 
-/// A configuration with a safe route at /safe/ and one that is not idempotent
-/// at /once/, both to a service.
-nlohmann::json usualConfig(int version, const std::string &service = "s");
+/// Returns a configuration with a safe route at /safe/ and a non-idempotent one
+/// at /once/, both to the given service.
+nlohmann::json defaultConfig(int version, const std::string &service = "s");
 
 } // namespace hickoryglade::testing
--- a/tests/platform/serverstandin.cpp
+++ b/tests/platform/serverstandin.cpp
@@ -6,8 +6,8 @@
 #include <map>
 
 /// Stand-in for a server of the users' platform: sends heartbeats to the node
-/// on its machine, runs requests and says what it saw. POST /_control switches
-/// faults on and off.
+/// on its VM, runs requests and reports what it received. POST /_control
+/// switches faults on and off.
 
 namespace hickoryglade::standins {
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Longer than any caller of the tests waits.
+/// Longer than the time-out of any caller in the tests.
 constexpr Millis HangTime{20'000};
 
 struct Identity {
@@ -24,8 +24,8 @@
   std::string Control;
   std::string Id;
   std::string Service;
-  Millis BeatPeriod{200};
-  std::int64_t Born = wallMicros() / 1'000;
+  Millis HeartbeatPeriod{200};
+  std::int64_t StartedAtMs = wallMicros() / 1'000;
 };
 
 class Server {
@@ -73,15 +73,15 @@
     co_return co_await reply(wire, answerBytes(200, body, echo + Proof));
   }
 
-  asio::awaitable<void> beatForever() {
+  asio::awaitable<void> sendHeartbeats() {
     while (State != "gone") {
-      co_await beat();
-      co_await sleepFor(Self.BeatPeriod);
+      co_await sendHeartbeat();
+      co_await sleepFor(Self.HeartbeatPeriod);
     }
   }
 
 private:
-  asio::awaitable<void> beat() {
+  asio::awaitable<void> sendHeartbeat() {
     std::string method = "POST";
     std::string target = "/rpc?call=instances.heartbeat&of=" + Self.Id;
     std::string body = json{
@@ -92,7 +92,7 @@
         {"slots", 3},
         {"state", State},
         {"cold_remaining_s", 0},
-        {"born", Self.Born},
+        {"born", Self.StartedAtMs},
         {"sequence",
          ++Sequence}}.dump();
     std::string sent = State;
@@ -116,7 +116,7 @@
         State = "gone";
         std::string method = "POST";
         std::string target = "/rpc?call=instances.deregister&of=" + Self.Id;
-        std::string body = json{{"born", Self.Born}}.dump();
+        std::string body = json{{"born", Self.StartedAtMs}}.dump();
         CallResult result =
             co_await callHttp(Self.Control, method, target, body);
         Acked = result.Status == 200 ? "gone" : Acked;
@@ -154,7 +154,7 @@
   identity.Control = option("control", "127.0.0.1:9200");
   identity.Id = option("id", "i-1");
   identity.Service = option("service", "s");
-  identity.BeatPeriod = Millis(std::stoi(option("beat-ms", "200")));
+  identity.HeartbeatPeriod = Millis(std::stoi(option("beat-ms", "200")));
   fleet::asio::io_context io{1};
   auto server = std::make_shared<standins::Server>(identity);
   standins::serveHttp(io, identity.Listen,
@@ -163,7 +163,7 @@
                         return server->handle(std::move(request),
                                               std::move(wire));
                       });
-  fleet::asio::co_spawn(io, server->beatForever(), fleet::asio::detached);
+  fleet::asio::co_spawn(io, server->sendHeartbeats(), fleet::asio::detached);
   io.run();
   return 0;
 }
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr auto CallLimit = std::chrono::milliseconds(3'000);
+constexpr auto CallTimeout = std::chrono::milliseconds(3'000);
 
-/// Two nodes with a server each and one whose server is of another service.
+/// Starts two nodes with a server each, and a third whose server belongs to
+/// another service.
 void startAll(PlatformFleet &fleet) {
   fleet.startStore();
   for (const char *node : {"n1", "n2"}) {
@@ -22,11 +23,11 @@
   }
   fleet.startNode("n3", "t");
   fleet.startServer("n3", "t");
-  fleet.configure(usualConfig(1));
+  fleet.configure(defaultConfig(1));
   fleet.awaitServing();
 }
 
-int servedOf(PlatformFleet &fleet, int calls) {
+int countServed(PlatformFleet &fleet, int calls) {
   int served = 0;
   for (int i = 0; i < calls; ++i)
     served += fleet.call("n3", "GET", "/safe/x").Status == 200;
@@ -35,7 +36,8 @@
 
 } // namespace
 
-TEST_CASE("a node without settings is not ready and refuses", "[platform]") {
+TEST_CASE("a node without settings is not ready and rejects requests",
+          "[platform]") {
   PlatformFleet fleet;
   fleet.startStore();
   fleet.startNode("n1");
@@ -46,7 +48,8 @@
   CHECK_FALSE(reply.header("Retry-After").empty());
 }
 
-TEST_CASE("requests reach servers as they were sent", "[platform]") {
+TEST_CASE("requests reach servers with target and body unchanged",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   HttpReply reply = fleet.call("n3", "POST", "/once/a?b=c", "the body");
@@ -54,7 +57,7 @@
   CHECK(reply.header("Response-Signature") == "proof");
   CHECK(reply.header("Attempt-Id") == fleet.lastId());
   CHECK(reply.Body.ends_with(":the body"));
-  CHECK(fleet.runsOfLast() == 1);
+  CHECK(fleet.runsOfLastAttempt() == 1);
   json last;
   for (const char *node : {"n1", "n2"}) {
     json seen = fleet.controlServer(node, json::object());
@@ -70,46 +73,47 @@
   CHECK(fleet.call("n1", "GET", "/nowhere/").Status == 404);
 }
 
-TEST_CASE("settings follow the operator and never go back", "[platform]") {
+TEST_CASE("nodes apply newer configurations and ignore older or invalid ones",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   auto servedBy = [&](const std::string &server) {
     return fleet.call("n1", "GET", "/safe/x").Body.starts_with(server);
   };
-  fleet.configure(usualConfig(7, "t"));
+  fleet.configure(defaultConfig(7, "t"));
   TestFleet::await(
       "the route has moved", [&] { return servedBy("i-n3"); }, 2'000);
-  fleet.configure(usualConfig(5, "s"));
-  json odd = usualConfig(9, "s");
-  odd["listeners"][0]["route_rules"][0]["kind"] = "odd";
-  fleet.configure(odd);
-  fleet.configure(usualConfig(11, "unknown"));
+  fleet.configure(defaultConfig(5, "s"));
+  json invalid = defaultConfig(9, "s");
+  invalid["listeners"][0]["route_rules"][0]["kind"] = "odd";
+  fleet.configure(invalid);
+  fleet.configure(defaultConfig(11, "unknown"));
   for (int i = 0; i < 20; ++i)
     CHECK(servedBy("i-n3"));
-  fleet.configure(usualConfig(12, "s"));
+  fleet.configure(defaultConfig(12, "s"));
   TestFleet::await(
       "the route is back", [&] { return !servedBy("i-n3"); }, 2'000);
 }
 
-TEST_CASE("nodes serve while the store is away and follow when it is back",
+TEST_CASE("nodes serve without the store and apply settings once it returns",
           "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   fleet.controlStore({{"mode", "silent"}});
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
   CHECK(fleet.readiness("n1") == 200);
   fleet.process("n1").signal(SIGKILL);
   fleet.process("n1").wait();
   fleet.controlStore({{"mode", "ok"}, {"lost_answers", 2}});
   fleet.startNode("n1");
-  fleet.configure(usualConfig(2, "t"));
+  fleet.configure(defaultConfig(2, "t"));
   TestFleet::await("new settings everywhere", [&] {
     return fleet.call("n1", "GET", "/safe/x").Body.starts_with("i-n3") &&
            fleet.call("n2", "GET", "/safe/x").Body.starts_with("i-n3");
   });
 }
 
-TEST_CASE("a server that leaves gets nothing once that is acknowledged",
+TEST_CASE("a server gets no requests once its departure is acknowledged",
           "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
@@ -120,11 +124,11 @@
     return fleet.controlServer("n1", json::object())["acked"] == wanted;
   });
   int before = fleet.controlServer("n1", json::object())["arrivals"];
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
   CHECK(fleet.controlServer("n1", json::object())["arrivals"] == before);
 }
 
-TEST_CASE("work that may have run is not repeated unless it is safe",
+TEST_CASE("a request that may have run is retried only on a safe route",
           "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
@@ -132,29 +136,29 @@
     fleet.controlServer(node, {{"fault", "reset"}});
   HttpReply once = fleet.call("n3", "POST", "/once/x", "pay");
   CHECK(once.Status == 502);
-  CHECK(fleet.runsOfLast() == 1);
+  CHECK(fleet.runsOfLastAttempt() == 1);
   fleet.controlServer("n1", {{"fault", ""}});
-  TestFleet::await("the sound server to be trusted", [&] {
+  TestFleet::await("the recovered server to serve", [&] {
     return fleet.call("n3", "GET", "/safe/x").Status == 200;
   });
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
 }
 
-TEST_CASE("a refusal by all servers says that nothing has run", "[platform]") {
+TEST_CASE("a request that all servers shed is answered 503 without a run",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   for (const char *node : {"n1", "n2"})
     fleet.controlServer(node, {{"fault", "shed"}});
   HttpReply reply = fleet.call("n3", "POST", "/once/x", "pay");
   CHECK(reply.Status == 503);
-  CHECK(fleet.runsOfLast() == 0);
+  CHECK(fleet.runsOfLastAttempt() == 0);
   double wait = std::stod(reply.header("Retry-After"));
   CHECK(wait > 0);
   CHECK(wait <= 0.5);
 }
 
-TEST_CASE("only an answer that is the server's own reaches a client",
-          "[platform]") {
+TEST_CASE("stray and unsigned answers do not reach a client", "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   auto callWith = [&](const std::string &fault) {
@@ -169,8 +173,7 @@
   CHECK(unsignedReply.Body.find(":mine") == std::string::npos);
 }
 
-TEST_CASE("after all nodes are killed they find each other again",
-          "[platform]") {
+TEST_CASE("nodes rejoin after all of them were killed", "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   for (const char *node : {"n1", "n2", "n3"}) {
@@ -181,63 +184,66 @@
   fleet.startNode("n2");
   fleet.startNode("n3", "t");
   fleet.awaitServing();
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
 }
 
-TEST_CASE("bad messages name no server and harm nothing", "[platform]") {
+TEST_CASE("malformed heartbeats and requests are rejected without side effects",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
-  auto beat = [&](const std::string &id, const std::string &body) {
+  auto heartbeat = [&](const std::string &id, const std::string &body) {
     HttpQuestion question{
         "POST", "/rpc?call=instances.heartbeat&of=" + id, {}, body};
-    return callOnce(fleet.node("n1").Admin, question, CallLimit).Status;
+    return callOnce(fleet.node("n1").Admin, question, CallTimeout).Status;
   };
-  CHECK(beat("x", "") == 400);
-  CHECK(beat("x", "[1,2]") == 400);
-  CHECK(beat("x", R"({"service":7})") == 400);
-  CHECK(beat("", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
-                 R"("state":"ready","sequence":1,"born":1})") == 400);
-  CHECK(beat("x", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
-                  R"("state":"odd","sequence":1,"born":1})") == 400);
-  std::string slow = sendRaw(fleet.node("n1").Http, "GET /safe/ HT", CallLimit);
+  CHECK(heartbeat("x", "") == 400);
+  CHECK(heartbeat("x", "[1,2]") == 400);
+  CHECK(heartbeat("x", R"({"service":7})") == 400);
+  CHECK(heartbeat("", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
+                      R"("state":"ready","sequence":1,"born":1})") == 400);
+  CHECK(heartbeat("x", R"({"service":"s","address":"127.0.0.1:1","slots":3,)"
+                       R"("state":"odd","sequence":1,"born":1})") == 400);
+  std::string slow =
+      sendRaw(fleet.node("n1").Http, "GET /safe/ HT", CallTimeout);
   CHECK(slow.find("408") != std::string::npos);
   std::string large =
       "GET /safe/ HTTP/1.1\r\nX: " + std::string(20'000, 'a') + "\r\n\r\n";
-  std::string refused = sendRaw(fleet.node("n1").Http, large, CallLimit);
+  std::string refused = sendRaw(fleet.node("n1").Http, large, CallTimeout);
   CHECK(refused.find("431") != std::string::npos);
   CHECK(
       fleet.call("n3", "POST", "/once/x", std::string(1'100'000, 'a')).Status ==
       413);
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
 }
 
-TEST_CASE("a stop under load loses nothing, SIGHUP changes nothing",
-          "[platform]") {
+TEST_CASE("no request fails during a graceful stop or SIGHUP", "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   fleet.process("n2").signal(SIGHUP);
-  CHECK(servedOf(fleet, 10) == 10);
+  CHECK(countServed(fleet, 10) == 10);
   CHECK(fleet.process("n2").isRunning());
   fleet.process("n2").signal(SIGTERM);
   TestFleet::await("not ready", [&] { return fleet.readiness("n2") != 200; });
-  CHECK(servedOf(fleet, 20) == 20);
+  CHECK(countServed(fleet, 20) == 20);
   CHECK(fleet.call("n2", "GET", "/safe/x").Status == 200);
   CHECK(fleet.process("n2").wait() == 0);
-  CHECK(servedOf(fleet, 10) == 10);
+  CHECK(countServed(fleet, 10) == 10);
 }
 
-// Deadlines are longer than a stop may last, and no slot becomes free.
-TEST_CASE("a node that ends answers what it could not finish", "[platform]") {
+// The deadlines exceed the drain limit and no slot becomes free, so requests
+// are queued and in flight when the node exits.
+TEST_CASE("a stopping node answers requests that it could not finish",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
-  json config = usualConfig(2);
+  json config = defaultConfig(2);
   for (json &rule : config["listeners"][0]["route_rules"]) {
     rule["target_latency_s"] = 6;
     rule["action"]["timeout_s"] = 8;
   }
   auto settingsOf = [&] {
     std::string text = callOnce(fleet.node("n3").Admin,
-                                {"GET", "/v1/status", {}, ""}, CallLimit)
+                                {"GET", "/v1/status", {}, ""}, CallTimeout)
                            .Body;
     return json::parse(text, nullptr, false).value("settings_next", 0);
   };
@@ -282,14 +288,16 @@
   CHECK(unknown == slots);
 }
 
-TEST_CASE("status and metrics say what a node knows and why", "[platform]") {
+TEST_CASE("status and metrics report a node's state and its reasons",
+          "[platform]") {
   PlatformFleet fleet;
   startAll(fleet);
   fleet.controlServer("n1", {{"fault", "reset"}});
   for (int i = 0; i < 6; ++i)
     fleet.call("n1", "GET", "/safe/x");
   auto ask = [&](const std::string &target) {
-    return callOnce(fleet.node("n1").Admin, {"GET", target, {}, ""}, CallLimit);
+    return callOnce(fleet.node("n1").Admin, {"GET", target, {}, ""},
+                    CallTimeout);
   };
   json status = json::parse(ask("/v1/status").Body, nullptr, false);
   REQUIRE(status.is_object());
