--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -133,7 +133,7 @@
     Instant from = Form.CrestLoad > 0 ? Warm + seconds(7) : Warm;
     Instant to = Form.CrestLoad > 0 ? Warm + seconds(25) : End;
     for (const auto &call : It.calls()) {
-      bool isAnswered = call->Outcome == Told::Answered;
+      bool isAnswered = call->Outcome == CallOutcome::Answered;
       if (isAnswered && call->End >= from && call->End < to)
         servedWork += msOf(call->Work);
       if (call->Start < from || call->Start >= to)
--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -100,11 +100,11 @@
         continue;
       ++out.Requests;
       Micros took = call->End - call->Start;
-      bool isAnswered = call->Outcome == Told::Answered;
+      bool isAnswered = call->Outcome == CallOutcome::Answered;
       out.Answered += isAnswered;
       out.InTarget += isAnswered && took <= milliseconds(kind.TargetMs);
       out.Wasted += !isAnswered && call->Runs > 0;
-      if (call->Outcome != Told::NotRun)
+      if (call->Outcome != CallOutcome::NotRun)
         continue;
       refusals.push_back(msOf(took));
       bool isEarly = call->RetryAfter > Millis(0) &&
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -22,9 +22,10 @@
     {"quarantine", Mechanism::Quarantine},
     {"retry-rule", Mechanism::Retry}};
 
-const std::map<std::string, Told> Outcomes = {{"answered", Told::Answered},
-                                              {"not_run", Told::NotRun},
-                                              {"unknown", Told::Unknown}};
+const std::map<std::string, CallOutcome> Outcomes = {
+    {"answered", CallOutcome::Answered},
+    {"not_run", CallOutcome::NotRun},
+    {"unknown", CallOutcome::Unknown}};
 
 bool contains(const Words &words, const std::string &word) {
   return std::ranges::find(words, word) != words.end();
@@ -220,8 +221,9 @@
     for (const auto &call : world().calls()) {
       if (call->Deadline + milliseconds(50) > world().now())
         continue;
-      expect(call->Outcome != Told::Nothing, call->Id + " has no answer");
-      expect(call->Outcome != Told::NotRun || call->Runs == 0,
+      expect(call->Outcome != CallOutcome::Pending,
+             call->Id + " has no answer");
+      expect(call->Outcome != CallOutcome::NotRun || call->Runs == 0,
              call->Id + " was told not_run but ran");
       expect(call->IsIdempotent || call->Runs <= 1,
              call->Id + " ran " + std::to_string(call->Runs) + " times");
@@ -244,8 +246,8 @@
       if (call->Deadline > world().now() || call->IsPoison)
         continue;
       ++all;
-      served += call->Outcome == Told::Answered;
-      if (call->Outcome != Told::Answered && std::getenv("SHOW_LOST"))
+      served += call->Outcome == CallOutcome::Answered;
+      if (call->Outcome != CallOutcome::Answered && std::getenv("SHOW_LOST"))
         world().note("lost " + call->Id + " " +
                      std::string(errorInfo(call->Kind).Name));
     }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -20,7 +20,7 @@
 enum class Mechanism { Leases, LeaseTerm, Fence, Quarantine, Retry };
 
 /// What a caller was told.
-enum class Told { Nothing, Answered, NotRun, Unknown };
+enum class CallOutcome { Pending, Answered, NotRun, Unknown };
 
 /// A caller's request.
 struct Call {
@@ -47,7 +47,7 @@
   int Crashes = 0;
   int Runs = 0;
   Instant FirstRun;
-  Told Outcome = Told::Nothing;
+  CallOutcome Outcome = CallOutcome::Pending;
   ErrorKind Kind = ErrorKind::Internal;
   Millis RetryAfter{0};
   Instant End;
@@ -153,8 +153,10 @@
   void offerAt(const AttemptPtr &attempt, const std::string &gate);
   void claimAt(const AttemptPtr &attempt, const std::string &gate);
   void withdrawFrom(const AttemptPtr &attempt, const std::string &gate);
-  void settle(const AttemptPtr &attempt, Told told, const Error &error);
-  void finish(const std::shared_ptr<Call> &call, Told told, ErrorKind kind);
+  void settle(const AttemptPtr &attempt, CallOutcome outcome,
+              const Error &error);
+  void finish(const std::shared_ptr<Call> &call, CallOutcome outcome,
+              ErrorKind kind);
   void giveUp(const std::shared_ptr<Call> &call, const Error &error);
   void watch(const AttemptPtr &attempt);
   void refused(const AttemptPtr &attempt, const std::string &gate,
--- a/tests/world/worldattempt.h
+++ b/tests/world/worldattempt.h
@@ -27,7 +27,7 @@
   bool IsSettled = false;
   std::string Endpoint;
   bool HasResult = false;
-  Told Result = Told::Nothing;
+  CallOutcome Result = CallOutcome::Pending;
   Error ResultError;
 };
 
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -65,24 +65,24 @@
   Node &node = Nodes.at(it->Entry);
   node.Budget.noteFresh(Policy.RetryBudgetPercent);
   at(it->Deadline + Grace, [this, it] {
-    if (it->Outcome == Told::Nothing)
-      finish(it, Told::Unknown, ErrorKind::DeadlineExceeded);
+    if (it->Outcome == CallOutcome::Pending)
+      finish(it, CallOutcome::Unknown, ErrorKind::DeadlineExceeded);
   });
   deliver(it->Entry, [this, it] { tryOnce(it); });
   return it;
 }
 
-void World::finish(const std::shared_ptr<Call> &call, Told told,
+void World::finish(const std::shared_ptr<Call> &call, CallOutcome outcome,
                    ErrorKind kind) {
-  if (call->Outcome != Told::Nothing)
+  if (call->Outcome != CallOutcome::Pending)
     return;
-  call->Outcome = told;
+  call->Outcome = outcome;
   call->Kind = kind;
   call->End = Now;
 }
 
 void World::tryOnce(const std::shared_ptr<Call> &call) {
-  if (call->Outcome != Told::Nothing)
+  if (call->Outcome != CallOutcome::Pending)
     return;
   Node &node = Nodes.at(call->Entry);
   ++call->Attempts;
@@ -174,18 +174,21 @@
   withdrawFrom(attempt, gate);
   if (isChosen || (attempt->Chosen.empty() && attempt->Gates.empty()))
     settle(attempt,
-           error.Run == RunState::NotRun ? Told::NotRun : Told::Unknown, error);
+           error.Run == RunState::NotRun ? CallOutcome::NotRun
+                                         : CallOutcome::Unknown,
+           error);
 }
 
-void World::settle(const AttemptPtr &attempt, Told told, const Error &error) {
+void World::settle(const AttemptPtr &attempt, CallOutcome outcome,
+                   const Error &error) {
   if (attempt->IsSettled)
     return;
   attempt->IsSettled = true;
   for (const std::string &gate : std::set<std::string>(attempt->Gates))
     withdrawFrom(attempt, gate);
   const std::shared_ptr<Call> &call = attempt->Request;
-  if (told == Told::Answered)
-    return finish(call, told, ErrorKind::Internal);
+  if (outcome == CallOutcome::Answered)
+    return finish(call, outcome, ErrorKind::Internal);
   if (error.Kind != ErrorKind::SlotTaken && !attempt->Chosen.empty())
     call->Tried.insert(attempt->Chosen);
   call->WasSlotTaken = call->WasSlotTaken || error.Kind == ErrorKind::SlotTaken;
@@ -205,16 +208,17 @@
 
 void World::giveUp(const std::shared_ptr<Call> &call, const Error &error) {
   bool isUnknown = finalError(error, call->MayHaveRun).Run == RunState::Unknown;
-  if (call->Outcome == Told::Nothing)
+  if (call->Outcome == CallOutcome::Pending)
     call->RetryAfter = suggestRetryAfter(
         error.RetryAfter, toMillis(call->Deadline - Now), AdviceRng);
-  finish(call, isUnknown ? Told::Unknown : Told::NotRun, error.Kind);
+  finish(call, isUnknown ? CallOutcome::Unknown : CallOutcome::NotRun,
+         error.Kind);
 }
 
 /// A silent link: the entry asks over a fresh one what became of its attempt.
 void World::watch(const AttemptPtr &attempt) {
   const std::shared_ptr<Call> &call = attempt->Request;
-  if (attempt->IsSettled || call->Outcome != Told::Nothing)
+  if (attempt->IsSettled || call->Outcome != CallOutcome::Pending)
     return;
   std::string entry = call->Entry;
   std::string gate =
@@ -224,12 +228,12 @@
   if (isSilent) {
     own.DownUntil[gate] = Now + milliseconds(500);
     if (!has(Mechanism::Fence))
-      return settle(attempt, Told::NotRun,
+      return settle(attempt, CallOutcome::NotRun,
                     {ErrorKind::GateLost, RunState::NotRun, {}, {}});
     if (attempt->Chosen.empty()) {
       withdrawFrom(attempt, gate);
       if (attempt->Gates.empty())
-        return settle(attempt, Told::NotRun,
+        return settle(attempt, CallOutcome::NotRun,
                       {ErrorKind::GateLost, RunState::NotRun, {}, {}});
     }
   } else if (!attempt->Chosen.empty()) {
@@ -241,7 +245,7 @@
       carryOut(home, actions);
       send(gate, entry, [this, attempt, state] {
         if (state == StartState::Fenced)
-          settle(attempt, Told::NotRun,
+          settle(attempt, CallOutcome::NotRun,
                  {ErrorKind::GateLost, RunState::NotRun, {}, {}});
         if (state == StartState::Finished)
           settle(attempt, attempt->Result, attempt->ResultError);
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -165,9 +165,9 @@
   bool isAnswer = outcome == AttemptOutcome::Answered;
   bool neverRan = outcome == AttemptOutcome::Unreachable &&
                   real != Endpoints.end() && !real->second.IsUp;
-  attempt->Result = isAnswer   ? Told::Answered
-                    : neverRan ? Told::NotRun
-                               : Told::Unknown;
+  attempt->Result = isAnswer   ? CallOutcome::Answered
+                    : neverRan ? CallOutcome::NotRun
+                               : CallOutcome::Unknown;
   attempt->ResultError = {outcome == AttemptOutcome::TimedOut
                               ? ErrorKind::DeadlineExceeded
                               : ErrorKind::EndpointFailed,
