--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -42,7 +42,7 @@
 /// Reads a scenario line by line into a world.
 class Runner {
 public:
-  explicit Runner(const Words &leftOut) : LeftOut(leftOut) {}
+  explicit Runner(const Words &disabled) : Disabled(disabled) {}
 
   ScenarioResult run(const std::string &text) {
     std::istringstream in(text);
@@ -63,8 +63,8 @@
     if (!It) {
       It = std::make_unique<World>(Seed);
       Begin = It->now();
-      for (const std::string &name : LeftOut)
-        It->leaveOut(Mechanisms.at(name));
+      for (const std::string &name : Disabled)
+        It->disable(Mechanisms.at(name));
     }
     return *It;
   }
@@ -255,7 +255,7 @@
            "served " + std::to_string(served) + " of " + std::to_string(all));
   }
 
-  Words LeftOut;
+  Words Disabled;
   std::uint64_t Seed = 1;
   std::unique_ptr<World> It;
   Instant Begin;
@@ -271,8 +271,8 @@
 } // namespace
 
 ScenarioResult runScenario(const std::string &text,
-                           const std::vector<std::string> &leftOut) {
-  return Runner(leftOut).run(text);
+                           const std::vector<std::string> &disabled) {
+  return Runner(disabled).run(text);
 }
 
 } // namespace hickoryglade::world
--- a/tests/world/scenario.h
+++ b/tests/world/scenario.h
@@ -26,8 +26,8 @@
 ///   expect ejected at most N | STANDING E | ID told OUTCOME | honest
 ///   expect crashes at most N | left quiet | settings agree
 ///   expect served at least PERCENT
-/// Mechanisms named in leftOut do not take part.
+/// Mechanisms named in disabled do not take part.
 ScenarioResult runScenario(const std::string &text,
-                           const std::vector<std::string> &leftOut);
+                           const std::vector<std::string> &disabled);
 
 } // namespace hickoryglade::world
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -82,7 +82,7 @@
   void addNode(const std::string &name);
   void addEndpoint(const std::string &name, const std::string &node, int slots);
   void setPolicy(const ServicePolicy &policy);
-  void leaveOut(Mechanism mechanism) { LeftOut.insert(mechanism); }
+  void disable(Mechanism mechanism) { Disabled.insert(mechanism); }
 
   /// Runs an action at a time.
   void at(Instant time, std::function<void()> action);
@@ -171,7 +171,7 @@
   void append(const std::string &data, bool isSettings);
   void seekLeases(Node &node);
   void shareBeliefs();
-  bool has(Mechanism it) const { return !LeftOut.contains(it); }
+  bool has(Mechanism it) const { return !Disabled.contains(it); }
   bool isOpen(const std::string &a, const std::string &b) const;
 
   Random Rng;
@@ -185,7 +185,7 @@
   std::vector<std::pair<Instant, std::string>> LeaseLog;
   std::vector<std::pair<Instant, std::string>> SettingsRecords;
   std::vector<std::shared_ptr<Call>> Calls;
-  std::set<Mechanism> LeftOut;
+  std::set<Mechanism> Disabled;
   ServicePolicy Policy;
   std::vector<std::string> Session;
   bool IsLogAway = false;
