--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -198,7 +198,7 @@
       if (other != name && belief == Standing::Healthy)
         record.Healthy.push_back(other);
     bool isAffordable = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
-    if (!has(Mechanism::Leases)) {
+    if (!isEnabled(Mechanism::Leases)) {
       if (isWanted && isAffordable)
         carryOut(node, setEjection(node.Door, name, Now + seconds(10), Now));
       continue;
@@ -215,7 +215,7 @@
     }
     if (auto end = leaseEnd(node.Agent, subject); end && isWanted)
       carryOut(node, setEjection(node.Door, name,
-                                 has(Mechanism::LeaseTerm)
+                                 isEnabled(Mechanism::LeaseTerm)
                                      ? *end
                                      : Now + std::chrono::hours(1),
                                  Now));
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -171,7 +171,7 @@
   void append(const std::string &data, bool isSettings);
   void seekLeases(Node &node);
   void shareBeliefs();
-  bool has(Mechanism it) const { return !Disabled.contains(it); }
+  bool isEnabled(Mechanism it) const { return !Disabled.contains(it); }
   bool isOpen(const std::string &a, const std::string &b) const;
 
   Random Rng;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -86,7 +86,7 @@
     return;
   Node &node = Nodes.at(call->Entry);
   ++call->Attempts;
-  int known = has(Mechanism::Quarantine) ? call->Crashes : 0;
+  int known = isEnabled(Mechanism::Quarantine) ? call->Crashes : 0;
   QuarantineRule rule =
       ruleFor(node.Door.Crashes, call->Fingerprint, Now, known);
   if (rule == QuarantineRule::Refused)
@@ -135,7 +135,7 @@
   ticket.IsIdempotent = call.IsIdempotent;
   ticket.Fingerprint = call.Fingerprint;
   ticket.Priority = call.Priority;
-  ticket.KnownCrashes = has(Mechanism::Quarantine) ? call.Crashes : 0;
+  ticket.KnownCrashes = isEnabled(Mechanism::Quarantine) ? call.Crashes : 0;
   ticket.AwaitsClaim = attempt.AwaitsGrant;
   ticket.OnlyIfFree = attempt.OnlyIfFree;
   ticket.IsSpill = attempt.IsSpill;
@@ -195,7 +195,7 @@
   if (error.Kind == ErrorKind::ContentSuspect)
     call->Crashes = std::max(call->Crashes, 1);
   call->MayHaveRun = call->MayHaveRun || error.Run == RunState::Unknown;
-  bool isSafe = call->IsIdempotent || !has(Mechanism::Retry);
+  bool isSafe = call->IsIdempotent || !isEnabled(Mechanism::Retry);
   call->FreeTries += isFreeRetry(error.Kind);
   RetryDecision answer =
       decideRetry({error, isSafe, call->Attempts - call->FreeTries,
@@ -227,7 +227,7 @@
   Node &own = Nodes.at(entry);
   if (isSilent) {
     own.DownUntil[gate] = Now + milliseconds(500);
-    if (!has(Mechanism::Fence))
+    if (!isEnabled(Mechanism::Fence))
       return settle(attempt, CallOutcome::NotRun,
                     {ErrorKind::GateLost, RunState::NotRun, {}, {}});
     if (attempt->Chosen.empty()) {
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -82,7 +82,7 @@
     else
       node.Ejecting.erase(ejection->Endpoint);
   } else if (const auto *crashed = std::get_if<CrashAction>(&action)) {
-    if (!has(Mechanism::Quarantine)) {
+    if (!isEnabled(Mechanism::Quarantine)) {
       node.Door.Crashes.Records.clear();
       return;
     }
