--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -45,8 +45,8 @@
 void World::addNode(const std::string &name) {
   Node &node = Nodes[name];
   node.Name = name;
-  node.Door.Node = name;
-  node.Door.Rng.seed(Rng());
+  node.LocalGate.Node = name;
+  node.LocalGate.Rng.seed(Rng());
   node.Agent.Self = {name, 1};
   node.Agent.StartedAt = Now;
   at(Now, [this, name] { tickNode(name); });
@@ -60,7 +60,7 @@
   for (const auto &[endpoint, it] : Endpoints)
     gates.insert(it.Node);
   for (auto &[at, it] : Nodes)
-    it.Door.Services[Service].Gates = int(gates.size());
+    it.LocalGate.Services[Service].Gates = int(gates.size());
   auto announceNow = std::make_shared<std::function<void()>>();
   *announceNow = [this, name, announceNow] {
     RealEndpoint &it = Endpoints.at(name);
@@ -74,7 +74,7 @@
                            endpoint.Slots,
                            std::to_string(endpoint.Incarnation),
                            endpoint.LeftAt != Instant::max()};
-        carryOut(home, announce(home.Door, facts, Now));
+        carryOut(home, announce(home.LocalGate, facts, Now));
       });
     at(Now + AnnouncePeriod, *announceNow);
   };
@@ -84,7 +84,7 @@
 void World::setPolicy(const ServicePolicy &policy) {
   Policy = policy;
   for (auto &[name, node] : Nodes)
-    node.Door.Services[Service].Policy = policy;
+    node.LocalGate.Services[Service].Policy = policy;
 }
 
 void World::cut(const std::string &from, const std::string &to, bool isCut) {
@@ -141,7 +141,7 @@
   at(Now + TickPeriod, [this, name] { tickNode(name); });
   if (node.IsPaused)
     return;
-  carryOut(node, tick(node.Door, Now));
+  carryOut(node, tick(node.LocalGate, Now));
   readLog(node);
   seekLeases(node);
   MostEjected = std::max(MostEjected, ejectedNow());
@@ -200,7 +200,8 @@
     bool isAffordable = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
     if (!isEnabled(Mechanism::Leases)) {
       if (isWanted && isAffordable)
-        carryOut(node, setEjection(node.Door, name, Now + seconds(10), Now));
+        carryOut(node,
+                 setEjection(node.LocalGate, name, Now + seconds(10), Now));
       continue;
     }
     if (isWanted && !isHeld && isAffordable &&
@@ -214,7 +215,7 @@
       append(encodeLease(record), false);
     }
     if (auto end = leaseEnd(node.Agent, subject); end && isWanted)
-      carryOut(node, setEjection(node.Door, name,
+      carryOut(node, setEjection(node.LocalGate, name,
                                  isEnabled(Mechanism::LeaseTerm)
                                      ? *end
                                      : Now + std::chrono::hours(1),
@@ -231,7 +232,7 @@
     for (const auto &[from, other] : Nodes) {
       if (!isOpen(from, to) || other.IsPaused)
         continue;
-      for (const auto &[name, endpoint] : other.Door.Endpoints)
+      for (const auto &[name, endpoint] : other.LocalGate.Endpoints)
         node.Beliefs[name] = endpoint.State;
     }
   }
@@ -240,7 +241,7 @@
 int World::ejectedNow() const {
   int n = 0;
   for (const auto &[name, node] : Nodes)
-    for (const auto &[endpoint, it] : node.Door.Endpoints)
+    for (const auto &[endpoint, it] : node.LocalGate.Endpoints)
       n += it.EjectedUntil && Now < *it.EjectedUntil &&
            it.State == Standing::Ejected;
   return n;
@@ -248,9 +249,9 @@
 
 Standing World::standingOf(const std::string &endpoint) const {
   const Node &node = Nodes.at(Endpoints.at(endpoint).Node);
-  auto it = node.Door.Endpoints.find(endpoint);
-  return it == node.Door.Endpoints.end() ? Standing::Draining
-                                         : it->second.State;
+  auto it = node.LocalGate.Endpoints.find(endpoint);
+  return it == node.LocalGate.Endpoints.end() ? Standing::Draining
+                                              : it->second.State;
 }
 
 void World::publish(const std::string &, const SettingsChange &change) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -121,7 +121,7 @@
   using AttemptPtr = std::shared_ptr<Attempt>;
   struct Node {
     std::string Name;
-    Gate Door;
+    Gate LocalGate;
     LeaseAgent Agent;
     SettingsState Settings;
     RetryBudget Budget;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -88,7 +88,7 @@
   ++call->Attempts;
   int known = isEnabled(Mechanism::Quarantine) ? call->Crashes : 0;
   QuarantineRule rule =
-      ruleFor(node.Door.Crashes, call->Fingerprint, Now, known);
+      ruleFor(node.LocalGate.Crashes, call->Fingerprint, Now, known);
   if (rule == QuarantineRule::Refused)
     return giveUp(call, makeError(ErrorKind::Quarantined));
   std::vector<Candidate> all = candidates(node, *call);
@@ -97,7 +97,7 @@
       router->Plan(all,
                    {call->IsLong, call->IsIdempotent, call->WasSlotTaken,
                     rule == QuarantineRule::Serialized, call->Fingerprint},
-                   node.Door.Rng);
+                   node.LocalGate.Rng);
   if (plan.Targets.empty())
     return giveUp(call, makeError(ErrorKind::NoEndpoint));
   auto attempt = std::make_shared<Attempt>();
@@ -149,14 +149,14 @@
   send(attempt->Request->Entry, gate, [this, attempt, gate, ticket] {
     Node &node = Nodes.at(gate);
     node.Here[attempt->Id] = attempt;
-    carryOut(node, offer(node.Door, ticket, Now));
+    carryOut(node, offer(node.LocalGate, ticket, Now));
   });
 }
 
 void World::claimAt(const AttemptPtr &attempt, const std::string &gate) {
   send(attempt->Request->Entry, gate, [this, attempt, gate] {
     Node &node = Nodes.at(gate);
-    carryOut(node, claim(node.Door, attempt->Id, Now));
+    carryOut(node, claim(node.LocalGate, attempt->Id, Now));
   });
 }
 
@@ -241,7 +241,7 @@
       Node &home = Nodes.at(gate);
       GateActions actions;
       StartState state =
-          revoke(home.Door, attempt->Id, Now + seconds(60), Now, actions);
+          revoke(home.LocalGate, attempt->Id, Now + seconds(60), Now, actions);
       carryOut(home, actions);
       send(gate, entry, [this, attempt, state] {
         if (state == StartState::Fenced)
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -39,7 +39,7 @@
         if (isLate) {
           send(it->Request->Entry, gate, [this, it, gate] {
             Node &home = Nodes.at(gate);
-            carryOut(home, cancel(home.Door, it->Id, Now));
+            carryOut(home, cancel(home.LocalGate, it->Id, Now));
           });
           return;
         }
@@ -49,7 +49,7 @@
             withdrawFrom(it, other);
             send(it->Request->Entry, other, [this, it, other] {
               Node &home = Nodes.at(other);
-              carryOut(home, cancel(home.Door, it->Id, Now));
+              carryOut(home, cancel(home.LocalGate, it->Id, Now));
             });
           }
         claimAt(it, gate);
@@ -57,7 +57,7 @@
   } else if (const auto *refusal = std::get_if<RefuseAction>(&action)) {
     AttemptPtr it = find(refusal->AttemptId);
     std::string gate = node.Name;
-    GateLoad load = loadOf(node.Door, Service, Now);
+    GateLoad load = loadOf(node.LocalGate, Service, Now);
     if (it)
       send(gate, it->Request->Entry,
            [this, it, gate, load, reason = refusal->Reason] {
@@ -83,11 +83,11 @@
       node.Ejecting.erase(ejection->Endpoint);
   } else if (const auto *crashed = std::get_if<CrashAction>(&action)) {
     if (!isEnabled(Mechanism::Quarantine)) {
-      node.Door.Crashes.Records.clear();
+      node.LocalGate.Crashes.Records.clear();
       return;
     }
     spreadCrash(node.Name, crashed->Fingerprint,
-                node.Door.Crashes.Records[crashed->Fingerprint]);
+                node.LocalGate.Crashes.Records[crashed->Fingerprint]);
   }
 }
 
@@ -97,7 +97,7 @@
   for (const auto &[name, other] : Nodes)
     if (name != from)
       send(from, name, [this, name, fingerprint, record] {
-        if (mergeCrash(Nodes.at(name).Door.Crashes, fingerprint, record))
+        if (mergeCrash(Nodes.at(name).LocalGate.Crashes, fingerprint, record))
           spreadCrash(name, fingerprint, record);
       });
 }
@@ -174,8 +174,8 @@
                           neverRan ? RunState::NotRun : RunState::Unknown,
                           {},
                           {}};
-  GateActions actions = complete(node.Door, attempt->Id, outcome, Now);
-  GateLoad load = loadOf(node.Door, Service, Now);
+  GateActions actions = complete(node.LocalGate, attempt->Id, outcome, Now);
+  GateLoad load = loadOf(node.LocalGate, Service, Now);
   Micros runTime = Now - attempt->Request->FirstRun;
   bool isCrash = outcome == AttemptOutcome::Crashed;
   std::string gate = node.Name;
