--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -131,7 +131,7 @@
     std::map<std::string, int> Outstanding;
     std::map<std::string, Instant> DownUntil;
     std::map<std::string, Standing> Beliefs;
-    std::map<std::string, AttemptPtr> Here;
+    std::map<std::string, AttemptPtr> AttemptsById;
     std::set<std::string> Ejecting;
     std::map<std::string, Instant> AskedAt;
     bool IsPaused = false;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -148,7 +148,7 @@
   ticket.AcceptsDoubtful = attempt->Doubtful.contains(gate);
   send(attempt->Request->Entry, gate, [this, attempt, gate, ticket] {
     Node &node = Nodes.at(gate);
-    node.Here[attempt->Id] = attempt;
+    node.AttemptsById[attempt->Id] = attempt;
     carryOut(node, offer(node.LocalGate, ticket, Now));
   });
 }
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -24,8 +24,8 @@
 
 void World::carryOutOne(Node &node, const GateAction &action) {
   auto find = [&](const std::string &id) {
-    auto it = node.Here.find(id);
-    return it == node.Here.end() ? nullptr : it->second;
+    auto it = node.AttemptsById.find(id);
+    return it == node.AttemptsById.end() ? nullptr : it->second;
   };
   if (const auto *start = std::get_if<StartAction>(&action)) {
     if (AttemptPtr it = find(start->AttemptId))
@@ -146,8 +146,8 @@
   for (const auto &[id, home] : running)
     deliver(home, [this, id = id, home = home, name = endpoint.Name] {
       Node &node = Nodes.at(home);
-      auto it = node.Here.find(id);
-      if (it != node.Here.end())
+      auto it = node.AttemptsById.find(id);
+      if (it != node.AttemptsById.end())
         endWork(node, it->second, name, AttemptOutcome::Crashed);
     });
   at(Now + RestartTime,
