--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -187,7 +187,7 @@
     if (real.Node != node.Name)
       continue;
     LeaseSubject subject{LeaseKind::Ejection, Service, name};
-    bool isWanted = node.Ejecting.contains(name);
+    bool isWanted = node.WantedEjections.contains(name);
     bool isHeld = isHeldBy(node.Agent.Ledger, subject, node.Agent.Self);
     LeaseRecord record;
     record.Subject = subject;
@@ -210,7 +210,7 @@
       append(encodeLease(record), false);
     }
     if (isHeld && (!isWanted || !isAffordable)) {
-      node.Ejecting.erase(name);
+      node.WantedEjections.erase(name);
       record.Action = LeaseAction::Release;
       append(encodeLease(record), false);
     }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -132,7 +132,7 @@
     std::map<std::string, Instant> DownUntil;
     std::map<std::string, Standing> Beliefs;
     std::map<std::string, AttemptPtr> AttemptsById;
-    std::set<std::string> Ejecting;
+    std::set<std::string> WantedEjections;
     std::map<std::string, Instant> AskedAt;
     bool IsPaused = false;
     std::vector<std::function<void()>> Inbox;
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -78,9 +78,9 @@
          ": " + standing->Reason);
   } else if (const auto *ejection = std::get_if<EjectionAction>(&action)) {
     if (ejection->IsWanted)
-      node.Ejecting.insert(ejection->Endpoint);
+      node.WantedEjections.insert(ejection->Endpoint);
     else
-      node.Ejecting.erase(ejection->Endpoint);
+      node.WantedEjections.erase(ejection->Endpoint);
   } else if (const auto *crashed = std::get_if<CrashAction>(&action)) {
     if (!isEnabled(Mechanism::Quarantine)) {
       node.LocalGate.Crashes.Records.clear();
