--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -205,8 +205,8 @@
       continue;
     }
     if (isWanted && !isHeld && isAffordable &&
-        Now - node.AskedAt[name] > seconds(2)) {
-      node.AskedAt[name] = Now;
+        Now - node.LeaseRequestedAt[name] > seconds(2)) {
+      node.LeaseRequestedAt[name] = Now;
       append(encodeLease(record), false);
     }
     if (isHeld && (!isWanted || !isAffordable)) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -133,7 +133,7 @@
     std::map<std::string, Standing> Beliefs;
     std::map<std::string, AttemptPtr> AttemptsById;
     std::set<std::string> WantedEjections;
-    std::map<std::string, Instant> AskedAt;
+    std::map<std::string, Instant> LeaseRequestedAt;
     bool IsPaused = false;
     std::vector<std::function<void()>> Inbox;
   };
