--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -194,8 +194,8 @@
     record.Holder = node.Agent.Self;
     record.Author = node.Name;
     record.Floor = Policy.Floor;
-    for (const auto &[other, belief] : node.Beliefs)
-      if (other != name && belief == Standing::Healthy)
+    for (const auto &[other, standing] : node.KnownStandings)
+      if (other != name && standing == Standing::Healthy)
         record.Healthy.push_back(other);
     bool isAffordable = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
     if (!isEnabled(Mechanism::Leases)) {
@@ -233,7 +233,7 @@
       if (!isOpen(from, to) || other.IsPaused)
         continue;
       for (const auto &[name, endpoint] : other.LocalGate.Endpoints)
-        node.Beliefs[name] = endpoint.State;
+        node.KnownStandings[name] = endpoint.State;
     }
   }
 }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -130,7 +130,7 @@
     std::map<std::string, Instant> LoadAt;
     std::map<std::string, int> Outstanding;
     std::map<std::string, Instant> DownUntil;
-    std::map<std::string, Standing> Beliefs;
+    std::map<std::string, Standing> KnownStandings;
     std::map<std::string, AttemptPtr> AttemptsById;
     std::set<std::string> WantedEjections;
     std::map<std::string, Instant> LeaseRequestedAt;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -31,16 +31,17 @@
     for (const auto &[endpoint, real] : Endpoints) {
       if (real.Node != name)
         continue;
-      auto belief = node.Beliefs.find(endpoint);
-      if (belief == node.Beliefs.end() || belief->second == Standing::Draining)
+      auto known = node.KnownStandings.find(endpoint);
+      if (known == node.KnownStandings.end() ||
+          known->second == Standing::Draining)
         continue;
       isAny = true;
       it.Slots += real.Slots;
       constexpr int Ranks[] = {0, 2, 3, 1, 4};
-      int rank = Ranks[int(belief->second)];
+      int rank = Ranks[int(known->second)];
       if (rank < best) {
         best = rank;
-        it.State = belief->second;
+        it.State = known->second;
       }
     }
     if (!isAny)
