--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -13,7 +13,7 @@
 
 constexpr Micros NetDelay{500};
 constexpr Micros TickPeriod = milliseconds(50);
-constexpr Micros BeliefPeriod = milliseconds(100);
+constexpr Micros GossipPeriod = milliseconds(100);
 constexpr Micros AnnouncePeriod = seconds(1);
 constexpr Micros LogDelay = milliseconds(2);
 
@@ -21,7 +21,7 @@
 
 World::World(std::uint64_t seed) : Rng(seed) {
   Instant start = Now;
-  at(start, [this] { shareBeliefs(); });
+  at(start, [this] { gossipStandings(); });
 }
 
 void World::at(Instant time, std::function<void()> action) {
@@ -224,8 +224,8 @@
 }
 
 /// What gossip brings, at its usual pace.
-void World::shareBeliefs() {
-  at(Now + BeliefPeriod, [this] { shareBeliefs(); });
+void World::gossipStandings() {
+  at(Now + GossipPeriod, [this] { gossipStandings(); });
   for (auto &[to, node] : Nodes) {
     if (node.IsPaused)
       continue;
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -170,7 +170,7 @@
   void readLog(Node &node);
   void append(const std::string &data, bool isSettings);
   void seekLeases(Node &node);
-  void shareBeliefs();
+  void gossipStandings();
   bool isEnabled(Mechanism it) const { return !Disabled.contains(it); }
   bool isOpen(const std::string &a, const std::string &b) const;
 
