--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -143,7 +143,7 @@
     return;
   carryOut(node, tick(node.LocalGate, Now));
   readLog(node);
-  seekLeases(node);
+  updateLeases(node);
   MostEjected = std::max(MostEjected, ejectedNow());
 }
 
@@ -173,7 +173,7 @@
   log.emplace_back(time, data);
 }
 
-void World::seekLeases(Node &node) {
+void World::updateLeases(Node &node) {
   std::vector<LedgerMember> members;
   for (const auto &[name, other] : Nodes)
     members.push_back({{name, 1},
@@ -197,19 +197,19 @@
     for (const auto &[other, standing] : node.KnownStandings)
       if (other != name && standing == Standing::Healthy)
         record.Healthy.push_back(other);
-    bool isAffordable = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
+    bool isAboveFloor = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
     if (!isEnabled(Mechanism::Leases)) {
-      if (isWanted && isAffordable)
+      if (isWanted && isAboveFloor)
         carryOut(node,
                  setEjection(node.LocalGate, name, Now + seconds(10), Now));
       continue;
     }
-    if (isWanted && !isHeld && isAffordable &&
+    if (isWanted && !isHeld && isAboveFloor &&
         Now - node.LeaseRequestedAt[name] > seconds(2)) {
       node.LeaseRequestedAt[name] = Now;
       append(encodeLease(record), false);
     }
-    if (isHeld && (!isWanted || !isAffordable)) {
+    if (isHeld && (!isWanted || !isAboveFloor)) {
       node.WantedEjections.erase(name);
       record.Action = LeaseAction::Release;
       append(encodeLease(record), false);
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -169,7 +169,7 @@
   void tickNode(const std::string &name);
   void readLog(Node &node);
   void append(const std::string &data, bool isSettings);
-  void seekLeases(Node &node);
+  void updateLeases(Node &node);
   void gossipStandings();
   bool isEnabled(Mechanism it) const { return !Disabled.contains(it); }
   bool isOpen(const std::string &a, const std::string &b) const;
