--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -63,10 +63,10 @@
     it.LocalGate.Services[Service].Gates = int(gates.size());
   auto announceNow = std::make_shared<std::function<void()>>();
   *announceNow = [this, name, announceNow] {
-    RealEndpoint &it = Endpoints.at(name);
+    SimulatedEndpoint &it = Endpoints.at(name);
     if (it.IsUp && it.Announces)
       deliver(it.Node, [this, name] {
-        RealEndpoint &endpoint = Endpoints.at(name);
+        SimulatedEndpoint &endpoint = Endpoints.at(name);
         Node &home = Nodes.at(endpoint.Node);
         Announcement facts{name,
                            Service,
@@ -110,7 +110,7 @@
 }
 
 void World::leave(const std::string &endpoint) {
-  RealEndpoint &it = Endpoints.at(endpoint);
+  SimulatedEndpoint &it = Endpoints.at(endpoint);
   it.LeftAt = Now;
   it.Announces = uniform(Rng, 2) == 0;
 }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -59,7 +59,7 @@
 };
 
 /// An endpoint as it really is, not as anyone believes.
-struct RealEndpoint {
+struct SimulatedEndpoint {
   std::string Name;
   std::string Node;
   int Slots = 3;
@@ -101,7 +101,7 @@
   void publish(const std::string &node, const SettingsChange &change);
 
   const std::vector<std::shared_ptr<Call>> &calls() const { return Calls; }
-  const std::map<std::string, RealEndpoint> &endpoints() const {
+  const std::map<std::string, SimulatedEndpoint> &endpoints() const {
     return Endpoints;
   }
   Standing standingOf(const std::string &endpoint) const;
@@ -147,7 +147,7 @@
                  const std::string &endpoint);
   void endWork(Node &node, const AttemptPtr &attempt,
                const std::string &endpoint, AttemptOutcome outcome);
-  void crash(RealEndpoint &endpoint);
+  void crash(SimulatedEndpoint &endpoint);
 
   void tryOnce(const std::shared_ptr<Call> &call);
   void offerAt(const AttemptPtr &attempt, const std::string &gate);
@@ -180,7 +180,7 @@
   Instant Now{std::chrono::seconds(10)};
   std::multimap<Instant, std::function<void()>> Queue;
   std::map<std::string, Node> Nodes;
-  std::map<std::string, RealEndpoint> Endpoints;
+  std::map<std::string, SimulatedEndpoint> Endpoints;
   std::set<std::pair<std::string, std::string>> Cuts;
   std::vector<std::pair<Instant, std::string>> LeaseLog;
   std::vector<std::pair<Instant, std::string>> SettingsRecords;
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -104,7 +104,7 @@
 
 void World::startWork(Node &node, const AttemptPtr &attempt,
                       const std::string &name) {
-  RealEndpoint &endpoint = Endpoints.at(name);
+  SimulatedEndpoint &endpoint = Endpoints.at(name);
   attempt->Endpoint = name;
   const std::shared_ptr<Call> &call = attempt->Request;
   if (!endpoint.IsUp)
@@ -121,7 +121,7 @@
   auto done = std::make_shared<std::function<void()>>();
   int incarnation = endpoint.Incarnation;
   *done = [this, attempt, name, incarnation, done] {
-    RealEndpoint &it = Endpoints.at(name);
+    SimulatedEndpoint &it = Endpoints.at(name);
     if (!it.Running.contains(attempt->Id) || it.Incarnation != incarnation)
       return;
     if (it.IsStalled)
@@ -134,7 +134,7 @@
   at(Now + call->Work, *done);
 }
 
-void World::crash(RealEndpoint &endpoint) {
+void World::crash(SimulatedEndpoint &endpoint) {
   if (!endpoint.IsUp)
     return;
   endpoint.IsUp = false;
