--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -132,7 +132,7 @@
     else if (first == "leave")
       w.leave(words.at(1));
     else if (first == "log")
-      w.setLog(words.at(1) == "away");
+      w.setLogUnavailable(words.at(1) == "away");
     else if (first == "publish")
       w.publish(words.at(2), {words.at(1), words.at(3), std::stoll(words.at(4)),
                               nlohmann::json::parse(words.at(5)), "", 0});
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -148,7 +148,7 @@
 }
 
 void World::readLog(Node &node) {
-  if (IsLogAway)
+  if (IsLogUnavailable)
     return;
   for (std::size_t i = std::size_t(node.Agent.Ledger.Next);
        i < LeaseLog.size() && LeaseLog[i].first <= Now; ++i)
@@ -164,7 +164,7 @@
 }
 
 void World::append(const std::string &data, bool isSettings) {
-  if (IsLogAway)
+  if (IsLogUnavailable)
     return;
   auto &log = isSettings ? SettingsRecords : LeaseLog;
   Instant time = Now + LogDelay;
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -93,7 +93,9 @@
   // Faults, from now on.
   void cut(const std::string &from, const std::string &to, bool isCut);
   void pause(const std::string &node, bool isPaused);
-  void setLog(bool isAway) { IsLogAway = isAway; }
+  void setLogUnavailable(bool isUnavailable) {
+    IsLogUnavailable = isUnavailable;
+  }
   void stall(const std::string &endpoint, bool isStalled);
   void leave(const std::string &endpoint);
 
@@ -188,7 +190,7 @@
   std::set<Mechanism> Disabled;
   ServicePolicy Policy;
   std::vector<std::string> Session;
-  bool IsLogAway = false;
+  bool IsLogUnavailable = false;
   int MostEjected = 0;
   int WentBack = 0;
   std::int64_t Messages = 0;
