--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -115,7 +115,7 @@
   it.Announces = uniform(Rng, 2) == 0;
 }
 
-bool World::isOpen(const std::string &a, const std::string &b) const {
+bool World::isLinkUp(const std::string &a, const std::string &b) const {
   return !Cuts.contains({a, b});
 }
 
@@ -130,7 +130,7 @@
 void World::send(const std::string &from, const std::string &to,
                  std::function<void()> action) {
   ++Messages;
-  if (!isOpen(from, to))
+  if (!isLinkUp(from, to))
     return;
   Micros delay = from == to ? Micros(10) : NetDelay;
   at(Now + delay, [this, to, it = std::move(action)] { deliver(to, it); });
@@ -178,7 +178,7 @@
   for (const auto &[name, other] : Nodes)
     members.push_back({{name, 1},
                        other.Agent.Ledger.Next,
-                       other.IsPaused || !isOpen(name, node.Name)});
+                       other.IsPaused || !isLinkUp(name, node.Name)});
   for (const LeaseRecord &it : dueRenewals(node.Agent, Now))
     append(encodeLease(it), false);
   for (const LeaseRecord &it : dueChallenges(node.Agent, members, Now))
@@ -230,7 +230,7 @@
     if (node.IsPaused)
       continue;
     for (const auto &[from, other] : Nodes) {
-      if (!isOpen(from, to) || other.IsPaused)
+      if (!isLinkUp(from, to) || other.IsPaused)
         continue;
       for (const auto &[name, endpoint] : other.LocalGate.Endpoints)
         node.KnownStandings[name] = endpoint.State;
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -174,7 +174,7 @@
   void updateLeases(Node &node);
   void gossipStandings();
   bool isEnabled(Mechanism it) const { return !Disabled.contains(it); }
-  bool isOpen(const std::string &a, const std::string &b) const;
+  bool isLinkUp(const std::string &a, const std::string &b) const;
 
   Random Rng;
   /// Apart from the world's own, so that advice changes no session.
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -224,7 +224,7 @@
   std::string entry = call->Entry;
   std::string gate =
       attempt->Chosen.empty() ? *attempt->Gates.begin() : attempt->Chosen;
-  bool isSilent = !isOpen(entry, gate) || !isOpen(gate, entry);
+  bool isSilent = !isLinkUp(entry, gate) || !isLinkUp(gate, entry);
   Node &own = Nodes.at(entry);
   if (isSilent) {
     own.DownUntil[gate] = Now + milliseconds(500);
