--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -191,8 +191,8 @@
     World &w = world();
     const std::string &first = words.at(1);
     if (first == "ejected")
-      expect(w.mostEjected() <= std::stoi(words.back()),
-             "ejected at once: " + std::to_string(w.mostEjected()));
+      expect(w.maxEjected() <= std::stoi(words.back()),
+             "ejected at once: " + std::to_string(w.maxEjected()));
     else if (first == "honest")
       checkHonest();
     else if (first == "crashes")
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -144,7 +144,7 @@
   carryOut(node, tick(node.LocalGate, Now));
   readLog(node);
   updateLeases(node);
-  MostEjected = std::max(MostEjected, ejectedNow());
+  MaxEjected = std::max(MaxEjected, ejectedNow());
 }
 
 void World::readLog(Node &node) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -109,7 +109,7 @@
   Standing standingOf(const std::string &endpoint) const;
   /// Endpoints that their gates keep out of rotation at this moment.
   int ejectedNow() const;
-  int mostEjected() const { return MostEjected; }
+  int maxEjected() const { return MaxEjected; }
   int settingsWentBack() const { return WentBack; }
   bool settingsAgree() const;
   std::int64_t messages() const { return Messages; }
@@ -191,7 +191,7 @@
   ServicePolicy Policy;
   std::vector<std::string> Session;
   bool IsLogUnavailable = false;
-  int MostEjected = 0;
+  int MaxEjected = 0;
   int WentBack = 0;
   std::int64_t Messages = 0;
 };
