--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -202,7 +202,7 @@
         expect(it.StartsAfterLeaving == 0, name + " got work after leaving");
     else if (first == "settings") {
       expect(w.settingsAgree(), "settings differ between nodes");
-      expect(w.settingsWentBack() == 0, "settings went back");
+      expect(w.settingsRegressions() == 0, "settings went back");
     } else if (first == "served")
       checkServed(std::stoi(words.back()));
     else if (words.at(2) == "told")
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -159,7 +159,8 @@
     auto before = node.Settings.Tree.Nodes;
     foldRecord(node.Settings, std::int64_t(i), SettingsRecords[i].second);
     for (const auto &[path, old] : before)
-      WentBack += revisionOf(node.Settings.Tree, path) < old.Revision;
+      SettingsRegressions +=
+          revisionOf(node.Settings.Tree, path) < old.Revision;
   }
 }
 
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -110,7 +110,7 @@
   /// Endpoints that their gates keep out of rotation at this moment.
   int ejectedNow() const;
   int maxEjected() const { return MaxEjected; }
-  int settingsWentBack() const { return WentBack; }
+  int settingsRegressions() const { return SettingsRegressions; }
   bool settingsAgree() const;
   std::int64_t messages() const { return Messages; }
 
@@ -192,7 +192,7 @@
   std::vector<std::string> Session;
   bool IsLogUnavailable = false;
   int MaxEjected = 0;
-  int WentBack = 0;
+  int SettingsRegressions = 0;
   std::int64_t Messages = 0;
 };
 
