--- a/tests/scenarios/test_scenarios.cpp
+++ b/tests/scenarios/test_scenarios.cpp
@@ -128,11 +128,11 @@
   for (const fs::path &path : scenarios()) {
     fs::path golden = path;
     golden.replace_extension(".golden");
-    std::string session = joined(runScenario(readFile(path), {}).Session);
+    std::string trace = joined(runScenario(readFile(path), {}).Trace);
     if (std::getenv("UPDATE_GOLDEN"))
-      std::ofstream(golden) << session;
+      std::ofstream(golden) << trace;
     INFO(path.filename());
-    CHECK(readFile(golden) == session);
+    CHECK(readFile(golden) == trace);
   }
 }
 
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -55,7 +55,7 @@
       if (!words.empty())
         take(words);
     }
-    return {Failures, It ? It->session() : Words{}};
+    return {Failures, It ? It->trace() : Words{}};
   }
 
 private:
@@ -122,7 +122,7 @@
     std::string line;
     for (const std::string &it : words)
       line += (line.empty() ? "" : " ") + it;
-    w.note("-- " + line);
+    w.traceEvent("-- " + line);
     if (first == "cut" || first == "heal")
       w.cut(words.at(1), words.at(2), first == "cut");
     else if (first == "pause" || first == "resume")
@@ -248,8 +248,8 @@
       ++all;
       served += call->Outcome == CallOutcome::Answered;
       if (call->Outcome != CallOutcome::Answered && std::getenv("SHOW_LOST"))
-        world().note("lost " + call->Id + " " +
-                     std::string(errorInfo(call->Kind).Name));
+        world().traceEvent("lost " + call->Id + " " +
+                           std::string(errorInfo(call->Kind).Name));
     }
     expect(all > 0 && served * 100 >= all * std::size_t(percent),
            "served " + std::to_string(served) + " of " + std::to_string(all));
--- a/tests/world/scenario.h
+++ b/tests/world/scenario.h
@@ -12,7 +12,7 @@
   /// Expectations that did not hold, with their line numbers; empty if all
   /// held.
   std::vector<std::string> Failures;
-  std::vector<std::string> Session;
+  std::vector<std::string> Trace;
 };
 
 /// Runs a scenario. Its lines, in the order of their times:
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -37,9 +37,9 @@
   Now = end;
 }
 
-void World::note(const std::string &line) {
+void World::traceEvent(const std::string &line) {
   auto ms = toMillis(Now.time_since_epoch()).count() - 10'000;
-  Session.push_back(std::to_string(ms) + "ms " + line);
+  Trace.push_back(std::to_string(ms) + "ms " + line);
 }
 
 void World::addNode(const std::string &name) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -115,8 +115,8 @@
   std::int64_t messages() const { return Messages; }
 
   /// Events worth telling, one a line, in order.
-  const std::vector<std::string> &session() const { return Session; }
-  void note(const std::string &line);
+  const std::vector<std::string> &trace() const { return Trace; }
+  void traceEvent(const std::string &line);
 
 private:
   struct Attempt;
@@ -189,7 +189,7 @@
   std::vector<std::shared_ptr<Call>> Calls;
   std::set<Mechanism> Disabled;
   ServicePolicy Policy;
-  std::vector<std::string> Session;
+  std::vector<std::string> Trace;
   bool IsLogUnavailable = false;
   int MaxEjected = 0;
   int SettingsRegressions = 0;
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -74,8 +74,9 @@
       endWork(node, it, it->Endpoint, outcome);
     }
   } else if (const auto *standing = std::get_if<StandingAction>(&action)) {
-    note(standing->Endpoint + " " + std::string(toString(standing->State)) +
-         ": " + standing->Reason);
+    traceEvent(standing->Endpoint + " " +
+               std::string(toString(standing->State)) + ": " +
+               standing->Reason);
   } else if (const auto *ejection = std::get_if<EjectionAction>(&action)) {
     if (ejection->IsWanted)
       node.WantedEjections.insert(ejection->Endpoint);
@@ -140,7 +141,7 @@
   endpoint.IsUp = false;
   ++endpoint.Crashes;
   ++endpoint.Incarnation;
-  note(endpoint.Name + " crashed");
+  traceEvent(endpoint.Name + " crashed");
   auto running = std::move(endpoint.Running);
   endpoint.Running.clear();
   for (const auto &[id, home] : running)
