--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -155,8 +155,8 @@
   void offerAt(const AttemptPtr &attempt, const std::string &gate);
   void claimAt(const AttemptPtr &attempt, const std::string &gate);
   void withdrawFrom(const AttemptPtr &attempt, const std::string &gate);
-  void settle(const AttemptPtr &attempt, CallOutcome outcome,
-              const Error &error);
+  void finishAttempt(const AttemptPtr &attempt, CallOutcome outcome,
+                     const Error &error);
   void finish(const std::shared_ptr<Call> &call, CallOutcome outcome,
               ErrorKind kind);
   void giveUp(const std::shared_ptr<Call> &call, const Error &error);
--- a/tests/world/worldattempt.h
+++ b/tests/world/worldattempt.h
@@ -24,7 +24,7 @@
   bool IsSerialized = false;
   /// Gates that the entry knows to be doubtful.
   std::set<std::string> Doubtful;
-  bool IsSettled = false;
+  bool IsFinished = false;
   std::string Endpoint;
   bool HasResult = false;
   CallOutcome Result = CallOutcome::Pending;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -169,22 +169,22 @@
 
 void World::refused(const AttemptPtr &attempt, const std::string &gate,
                     const Error &error) {
-  if (attempt->IsSettled)
+  if (attempt->IsFinished)
     return;
   bool isChosen = attempt->Chosen == gate;
   withdrawFrom(attempt, gate);
   if (isChosen || (attempt->Chosen.empty() && attempt->Gates.empty()))
-    settle(attempt,
-           error.Run == RunState::NotRun ? CallOutcome::NotRun
-                                         : CallOutcome::Unknown,
-           error);
+    finishAttempt(attempt,
+                  error.Run == RunState::NotRun ? CallOutcome::NotRun
+                                                : CallOutcome::Unknown,
+                  error);
 }
 
-void World::settle(const AttemptPtr &attempt, CallOutcome outcome,
-                   const Error &error) {
-  if (attempt->IsSettled)
+void World::finishAttempt(const AttemptPtr &attempt, CallOutcome outcome,
+                          const Error &error) {
+  if (attempt->IsFinished)
     return;
-  attempt->IsSettled = true;
+  attempt->IsFinished = true;
   for (const std::string &gate : std::set<std::string>(attempt->Gates))
     withdrawFrom(attempt, gate);
   const std::shared_ptr<Call> &call = attempt->Request;
@@ -198,11 +198,12 @@
   call->MayHaveRun = call->MayHaveRun || error.Run == RunState::Unknown;
   bool isSafe = call->IsIdempotent || !isEnabled(Mechanism::Retry);
   call->FreeTries += isFreeRetry(error.Kind);
-  RetryDecision answer =
+  RetryDecision decision =
       decideRetry({error, isSafe, call->Attempts - call->FreeTries,
                    call->Deadline - Now, Micros(0)},
                   Nodes.at(call->Entry).Budget);
-  if (answer.Verdict == RetryVerdict::Retry && call->FreeTries < FreeRetryLimit)
+  if (decision.Verdict == RetryVerdict::Retry &&
+      call->FreeTries < FreeRetryLimit)
     return tryOnce(call);
   giveUp(call, error);
 }
@@ -219,7 +220,7 @@
 /// A silent link: the entry asks over a fresh one what became of its attempt.
 void World::watch(const AttemptPtr &attempt) {
   const std::shared_ptr<Call> &call = attempt->Request;
-  if (attempt->IsSettled || call->Outcome != CallOutcome::Pending)
+  if (attempt->IsFinished || call->Outcome != CallOutcome::Pending)
     return;
   std::string entry = call->Entry;
   std::string gate =
@@ -229,13 +230,13 @@
   if (isSilent) {
     own.DownUntil[gate] = Now + milliseconds(500);
     if (!isEnabled(Mechanism::Fence))
-      return settle(attempt, CallOutcome::NotRun,
-                    {ErrorKind::GateLost, RunState::NotRun, {}, {}});
+      return finishAttempt(attempt, CallOutcome::NotRun,
+                           {ErrorKind::GateLost, RunState::NotRun, {}, {}});
     if (attempt->Chosen.empty()) {
       withdrawFrom(attempt, gate);
       if (attempt->Gates.empty())
-        return settle(attempt, CallOutcome::NotRun,
-                      {ErrorKind::GateLost, RunState::NotRun, {}, {}});
+        return finishAttempt(attempt, CallOutcome::NotRun,
+                             {ErrorKind::GateLost, RunState::NotRun, {}, {}});
     }
   } else if (!attempt->Chosen.empty()) {
     send(entry, gate, [this, attempt, gate, entry] {
@@ -246,10 +247,10 @@
       carryOut(home, actions);
       send(gate, entry, [this, attempt, state] {
         if (state == StartState::Fenced)
-          settle(attempt, CallOutcome::NotRun,
-                 {ErrorKind::GateLost, RunState::NotRun, {}, {}});
+          finishAttempt(attempt, CallOutcome::NotRun,
+                        {ErrorKind::GateLost, RunState::NotRun, {}, {}});
         if (state == StartState::Finished)
-          settle(attempt, attempt->Result, attempt->ResultError);
+          finishAttempt(attempt, attempt->Result, attempt->ResultError);
       });
     });
   }
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -35,7 +35,7 @@
     std::string gate = node.Name;
     if (it)
       send(gate, it->Request->Entry, [this, it, gate] {
-        bool isLate = it->IsSettled || !it->Chosen.empty();
+        bool isLate = it->IsFinished || !it->Chosen.empty();
         if (isLate) {
           send(it->Request->Entry, gate, [this, it, gate] {
             Node &home = Nodes.at(gate);
@@ -188,7 +188,7 @@
          attempt->Request->Crashes += isCrash;
          if (isAnswer && attempt->Request->Runs == 1)
            entry.Costs.observe(attempt->Request->costClass(), runTime);
-         settle(attempt, attempt->Result, attempt->ResultError);
+         finishAttempt(attempt, attempt->Result, attempt->ResultError);
        });
   carryOut(node, actions);
 }
