--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -157,8 +157,8 @@
   void withdrawFrom(const AttemptPtr &attempt, const std::string &gate);
   void finishAttempt(const AttemptPtr &attempt, CallOutcome outcome,
                      const Error &error);
-  void finish(const std::shared_ptr<Call> &call, CallOutcome outcome,
-              ErrorKind kind);
+  void finishCall(const std::shared_ptr<Call> &call, CallOutcome outcome,
+                  ErrorKind kind);
   void giveUp(const std::shared_ptr<Call> &call, const Error &error);
   void watch(const AttemptPtr &attempt);
   void refused(const AttemptPtr &attempt, const std::string &gate,
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -67,14 +67,14 @@
   node.Budget.noteFresh(Policy.RetryBudgetPercent);
   at(it->Deadline + Grace, [this, it] {
     if (it->Outcome == CallOutcome::Pending)
-      finish(it, CallOutcome::Unknown, ErrorKind::DeadlineExceeded);
+      finishCall(it, CallOutcome::Unknown, ErrorKind::DeadlineExceeded);
   });
   deliver(it->Entry, [this, it] { tryOnce(it); });
   return it;
 }
 
-void World::finish(const std::shared_ptr<Call> &call, CallOutcome outcome,
-                   ErrorKind kind) {
+void World::finishCall(const std::shared_ptr<Call> &call, CallOutcome outcome,
+                       ErrorKind kind) {
   if (call->Outcome != CallOutcome::Pending)
     return;
   call->Outcome = outcome;
@@ -189,7 +189,7 @@
     withdrawFrom(attempt, gate);
   const std::shared_ptr<Call> &call = attempt->Request;
   if (outcome == CallOutcome::Answered)
-    return finish(call, outcome, ErrorKind::Internal);
+    return finishCall(call, outcome, ErrorKind::Internal);
   if (error.Kind != ErrorKind::SlotTaken && !attempt->Chosen.empty())
     call->Tried.insert(attempt->Chosen);
   call->WasSlotTaken = call->WasSlotTaken || error.Kind == ErrorKind::SlotTaken;
@@ -213,8 +213,8 @@
   if (call->Outcome == CallOutcome::Pending)
     call->RetryAfter = suggestRetryAfter(
         error.RetryAfter, toMillis(call->Deadline - Now), AdviceRng);
-  finish(call, isUnknown ? CallOutcome::Unknown : CallOutcome::NotRun,
-         error.Kind);
+  finishCall(call, isUnknown ? CallOutcome::Unknown : CallOutcome::NotRun,
+             error.Kind);
 }
 
 /// A silent link: the entry asks over a fresh one what became of its attempt.
