--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -159,7 +159,7 @@
                      const Error &error);
   void finishCall(const std::shared_ptr<Call> &call, CallOutcome outcome,
                   ErrorKind kind);
-  void giveUp(const std::shared_ptr<Call> &call, const Error &error);
+  void failCall(const std::shared_ptr<Call> &call, const Error &error);
   void watch(const AttemptPtr &attempt);
   void refused(const AttemptPtr &attempt, const std::string &gate,
                const Error &error);
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -91,7 +91,7 @@
   QuarantineRule rule =
       ruleFor(node.LocalGate.Crashes, call->Fingerprint, Now, known);
   if (rule == QuarantineRule::Refused)
-    return giveUp(call, makeError(ErrorKind::Quarantined));
+    return failCall(call, makeError(ErrorKind::Quarantined));
   std::vector<Candidate> all = candidates(node, *call);
   const auto *router = Registry<RouterPolicy>::instance().find(Policy.Router);
   RoutePlan plan =
@@ -100,7 +100,7 @@
                     rule == QuarantineRule::Serialized, call->Fingerprint},
                    node.LocalGate.Rng);
   if (plan.Targets.empty())
-    return giveUp(call, makeError(ErrorKind::NoEndpoint));
+    return failCall(call, makeError(ErrorKind::NoEndpoint));
   auto attempt = std::make_shared<Attempt>();
   attempt->Request = call;
   attempt->Id = call->Id + "/" + std::to_string(call->Attempts);
@@ -205,10 +205,10 @@
   if (decision.Verdict == RetryVerdict::Retry &&
       call->FreeTries < FreeRetryLimit)
     return tryOnce(call);
-  giveUp(call, error);
+  failCall(call, error);
 }
 
-void World::giveUp(const std::shared_ptr<Call> &call, const Error &error) {
+void World::failCall(const std::shared_ptr<Call> &call, const Error &error) {
   bool isUnknown = finalError(error, call->MayHaveRun).Run == RunState::Unknown;
   if (call->Outcome == CallOutcome::Pending)
     call->RetryAfter = suggestRetryAfter(
