--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -160,7 +160,7 @@
   void finishCall(const std::shared_ptr<Call> &call, CallOutcome outcome,
                   ErrorKind kind);
   void failCall(const std::shared_ptr<Call> &call, const Error &error);
-  void watch(const AttemptPtr &attempt);
+  void resolveAttempt(const AttemptPtr &attempt);
   void refused(const AttemptPtr &attempt, const std::string &gate,
                const Error &error);
   Ticket ticketFor(const Attempt &attempt) const;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -119,7 +119,7 @@
       attempt->Chosen = gate;
     offerAt(attempt, gate);
   }
-  at(Now + SilenceLimit, [this, attempt] { watch(attempt); });
+  at(Now + SilenceLimit, [this, attempt] { resolveAttempt(attempt); });
 }
 
 Ticket World::ticketFor(const Attempt &attempt) const {
@@ -218,7 +218,7 @@
 }
 
 /// A silent link: the entry asks over a fresh one what became of its attempt.
-void World::watch(const AttemptPtr &attempt) {
+void World::resolveAttempt(const AttemptPtr &attempt) {
   const std::shared_ptr<Call> &call = attempt->Request;
   if (attempt->IsFinished || call->Outcome != CallOutcome::Pending)
     return;
@@ -254,7 +254,7 @@
       });
     });
   }
-  at(Now + ResolvePeriod, [this, attempt] { watch(attempt); });
+  at(Now + ResolvePeriod, [this, attempt] { resolveAttempt(attempt); });
 }
 
 } // namespace hickoryglade::world
