--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -161,8 +161,8 @@
                   ErrorKind kind);
   void failCall(const std::shared_ptr<Call> &call, const Error &error);
   void resolveAttempt(const AttemptPtr &attempt);
-  void refused(const AttemptPtr &attempt, const std::string &gate,
-               const Error &error);
+  void handleRefusal(const AttemptPtr &attempt, const std::string &gate,
+                     const Error &error);
   Ticket ticketFor(const Attempt &attempt) const;
   std::vector<Candidate> candidates(Node &node, const Call &call);
   void spreadCrash(const std::string &from, std::uint64_t fingerprint,
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -167,8 +167,8 @@
   --Nodes.at(attempt->Request->Entry).Outstanding[gate];
 }
 
-void World::refused(const AttemptPtr &attempt, const std::string &gate,
-                    const Error &error) {
+void World::handleRefusal(const AttemptPtr &attempt, const std::string &gate,
+                          const Error &error) {
   if (attempt->IsFinished)
     return;
   bool isChosen = attempt->Chosen == gate;
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -64,7 +64,7 @@
              Node &entry = Nodes.at(it->Request->Entry);
              entry.Loads[gate] = load;
              entry.LoadAt[gate] = Now;
-             refused(it, gate, reason);
+             handleRefusal(it, gate, reason);
            });
   } else if (const auto *abort = std::get_if<AbortAction>(&action)) {
     if (AttemptPtr it = find(abort->AttemptId)) {
