--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -154,7 +154,7 @@
   void tryOnce(const std::shared_ptr<Call> &call);
   void offerAt(const AttemptPtr &attempt, const std::string &gate);
   void claimAt(const AttemptPtr &attempt, const std::string &gate);
-  void withdrawFrom(const AttemptPtr &attempt, const std::string &gate);
+  void removeGate(const AttemptPtr &attempt, const std::string &gate);
   void finishAttempt(const AttemptPtr &attempt, CallOutcome outcome,
                      const Error &error);
   void finishCall(const std::shared_ptr<Call> &call, CallOutcome outcome,
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -161,7 +161,7 @@
   });
 }
 
-void World::withdrawFrom(const AttemptPtr &attempt, const std::string &gate) {
+void World::removeGate(const AttemptPtr &attempt, const std::string &gate) {
   if (attempt->Gates.erase(gate) == 0)
     return;
   --Nodes.at(attempt->Request->Entry).Outstanding[gate];
@@ -172,7 +172,7 @@
   if (attempt->IsFinished)
     return;
   bool isChosen = attempt->Chosen == gate;
-  withdrawFrom(attempt, gate);
+  removeGate(attempt, gate);
   if (isChosen || (attempt->Chosen.empty() && attempt->Gates.empty()))
     finishAttempt(attempt,
                   error.Run == RunState::NotRun ? CallOutcome::NotRun
@@ -186,7 +186,7 @@
     return;
   attempt->IsFinished = true;
   for (const std::string &gate : std::set<std::string>(attempt->Gates))
-    withdrawFrom(attempt, gate);
+    removeGate(attempt, gate);
   const std::shared_ptr<Call> &call = attempt->Request;
   if (outcome == CallOutcome::Answered)
     return finishCall(call, outcome, ErrorKind::Internal);
@@ -233,7 +233,7 @@
       return finishAttempt(attempt, CallOutcome::NotRun,
                            {ErrorKind::GateLost, RunState::NotRun, {}, {}});
     if (attempt->Chosen.empty()) {
-      withdrawFrom(attempt, gate);
+      removeGate(attempt, gate);
       if (attempt->Gates.empty())
         return finishAttempt(attempt, CallOutcome::NotRun,
                              {ErrorKind::GateLost, RunState::NotRun, {}, {}});
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -46,7 +46,7 @@
         it->Chosen = gate;
         for (const std::string &other : std::set<std::string>(it->Gates))
           if (other != gate) {
-            withdrawFrom(it, other);
+            removeGate(it, other);
             send(it->Request->Entry, other, [this, it, other] {
               Node &home = Nodes.at(other);
               carryOut(home, cancel(home.LocalGate, it->Id, Now));
