--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -152,8 +152,8 @@
   void crash(SimulatedEndpoint &endpoint);
 
   void tryOnce(const std::shared_ptr<Call> &call);
-  void offerAt(const AttemptPtr &attempt, const std::string &gate);
-  void claimAt(const AttemptPtr &attempt, const std::string &gate);
+  void sendOffer(const AttemptPtr &attempt, const std::string &gate);
+  void sendClaim(const AttemptPtr &attempt, const std::string &gate);
   void removeGate(const AttemptPtr &attempt, const std::string &gate);
   void finishAttempt(const AttemptPtr &attempt, CallOutcome outcome,
                      const Error &error);
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -117,7 +117,7 @@
     ++node.Outstanding[gate];
     if (!plan.AwaitsGrant)
       attempt->Chosen = gate;
-    offerAt(attempt, gate);
+    sendOffer(attempt, gate);
   }
   at(Now + SilenceLimit, [this, attempt] { resolveAttempt(attempt); });
 }
@@ -144,7 +144,7 @@
   return ticket;
 }
 
-void World::offerAt(const AttemptPtr &attempt, const std::string &gate) {
+void World::sendOffer(const AttemptPtr &attempt, const std::string &gate) {
   Ticket ticket = ticketFor(*attempt);
   ticket.AcceptsDoubtful = attempt->Doubtful.contains(gate);
   send(attempt->Request->Entry, gate, [this, attempt, gate, ticket] {
@@ -154,7 +154,7 @@
   });
 }
 
-void World::claimAt(const AttemptPtr &attempt, const std::string &gate) {
+void World::sendClaim(const AttemptPtr &attempt, const std::string &gate) {
   send(attempt->Request->Entry, gate, [this, attempt, gate] {
     Node &node = Nodes.at(gate);
     carryOut(node, claim(node.LocalGate, attempt->Id, Now));
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -52,7 +52,7 @@
               carryOut(home, cancel(home.LocalGate, it->Id, Now));
             });
           }
-        claimAt(it, gate);
+        sendClaim(it, gate);
       });
   } else if (const auto *refusal = std::get_if<RefuseAction>(&action)) {
     AttemptPtr it = find(refusal->AttemptId);
