--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -165,8 +165,8 @@
                      const Error &error);
   Ticket ticketFor(const Attempt &attempt) const;
   std::vector<Candidate> candidates(Node &node, const Call &call);
-  void spreadCrash(const std::string &from, std::uint64_t fingerprint,
-                   const CrashRecord &record);
+  void floodCrash(const std::string &from, std::uint64_t fingerprint,
+                  const CrashRecord &record);
 
   void tickNode(const std::string &name);
   void readLog(Node &node);
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -87,19 +87,19 @@
       node.LocalGate.Crashes.Records.clear();
       return;
     }
-    spreadCrash(node.Name, crashed->Fingerprint,
-                node.LocalGate.Crashes.Records[crashed->Fingerprint]);
+    floodCrash(node.Name, crashed->Fingerprint,
+               node.LocalGate.Crashes.Records[crashed->Fingerprint]);
   }
 }
 
 /// Who hears news passes it on.
-void World::spreadCrash(const std::string &from, std::uint64_t fingerprint,
-                        const CrashRecord &record) {
+void World::floodCrash(const std::string &from, std::uint64_t fingerprint,
+                       const CrashRecord &record) {
   for (const auto &[name, other] : Nodes)
     if (name != from)
       send(from, name, [this, name, fingerprint, record] {
         if (mergeCrash(Nodes.at(name).LocalGate.Crashes, fingerprint, record))
-          spreadCrash(name, fingerprint, record);
+          floodCrash(name, fingerprint, record);
       });
 }
 
