--- a/tests/world/worldattempt.h
+++ b/tests/world/worldattempt.h
@@ -17,7 +17,7 @@
   /// Gates at which a ticket or the request itself waits.
   std::set<std::string> Gates;
   /// The gate that has the body.
-  std::string Chosen;
+  std::string ChosenGate;
   bool AwaitsGrant = false;
   bool OnlyIfFree = false;
   bool IsSpill = false;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -116,7 +116,7 @@
   for (const std::string &gate : std::set<std::string>(attempt->Gates)) {
     ++node.Outstanding[gate];
     if (!plan.AwaitsGrant)
-      attempt->Chosen = gate;
+      attempt->ChosenGate = gate;
     sendOffer(attempt, gate);
   }
   at(Now + SilenceLimit, [this, attempt] { resolveAttempt(attempt); });
@@ -171,9 +171,9 @@
                           const Error &error) {
   if (attempt->IsFinished)
     return;
-  bool isChosen = attempt->Chosen == gate;
+  bool isChosen = attempt->ChosenGate == gate;
   removeGate(attempt, gate);
-  if (isChosen || (attempt->Chosen.empty() && attempt->Gates.empty()))
+  if (isChosen || (attempt->ChosenGate.empty() && attempt->Gates.empty()))
     finishAttempt(attempt,
                   error.Run == RunState::NotRun ? CallOutcome::NotRun
                                                 : CallOutcome::Unknown,
@@ -190,8 +190,8 @@
   const std::shared_ptr<Call> &call = attempt->Request;
   if (outcome == CallOutcome::Answered)
     return finishCall(call, outcome, ErrorKind::Internal);
-  if (error.Kind != ErrorKind::SlotTaken && !attempt->Chosen.empty())
-    call->Tried.insert(attempt->Chosen);
+  if (error.Kind != ErrorKind::SlotTaken && !attempt->ChosenGate.empty())
+    call->Tried.insert(attempt->ChosenGate);
   call->WasSlotTaken = call->WasSlotTaken || error.Kind == ErrorKind::SlotTaken;
   if (error.Kind == ErrorKind::ContentSuspect)
     call->Crashes = std::max(call->Crashes, 1);
@@ -223,8 +223,8 @@
   if (attempt->IsFinished || call->Outcome != CallOutcome::Pending)
     return;
   std::string entry = call->Entry;
-  std::string gate =
-      attempt->Chosen.empty() ? *attempt->Gates.begin() : attempt->Chosen;
+  std::string gate = attempt->ChosenGate.empty() ? *attempt->Gates.begin()
+                                                 : attempt->ChosenGate;
   bool isSilent = !isLinkUp(entry, gate) || !isLinkUp(gate, entry);
   Node &own = Nodes.at(entry);
   if (isSilent) {
@@ -232,13 +232,13 @@
     if (!isEnabled(Mechanism::Fence))
       return finishAttempt(attempt, CallOutcome::NotRun,
                            {ErrorKind::GateLost, RunState::NotRun, {}, {}});
-    if (attempt->Chosen.empty()) {
+    if (attempt->ChosenGate.empty()) {
       removeGate(attempt, gate);
       if (attempt->Gates.empty())
         return finishAttempt(attempt, CallOutcome::NotRun,
                              {ErrorKind::GateLost, RunState::NotRun, {}, {}});
     }
-  } else if (!attempt->Chosen.empty()) {
+  } else if (!attempt->ChosenGate.empty()) {
     send(entry, gate, [this, attempt, gate, entry] {
       Node &home = Nodes.at(gate);
       GateActions actions;
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -35,7 +35,7 @@
     std::string gate = node.Name;
     if (it)
       send(gate, it->Request->Entry, [this, it, gate] {
-        bool isLate = it->IsFinished || !it->Chosen.empty();
+        bool isLate = it->IsFinished || !it->ChosenGate.empty();
         if (isLate) {
           send(it->Request->Entry, gate, [this, it, gate] {
             Node &home = Nodes.at(gate);
@@ -43,7 +43,7 @@
           });
           return;
         }
-        it->Chosen = gate;
+        it->ChosenGate = gate;
         for (const std::string &other : std::set<std::string>(it->Gates))
           if (other != gate) {
             removeGate(it, other);
