--- a/tests/world/worldattempt.h
+++ b/tests/world/worldattempt.h
@@ -23,7 +23,7 @@
   bool IsSpill = false;
   bool IsSerialized = false;
   /// Gates that the entry knows to be doubtful.
-  std::set<std::string> Doubtful;
+  std::set<std::string> DoubtfulGates;
   bool IsFinished = false;
   std::string Endpoint;
   bool HasResult = false;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -111,7 +111,7 @@
   for (std::size_t i : plan.Targets) {
     attempt->Gates.insert(all[i].Node);
     if (all[i].State != Standing::Healthy)
-      attempt->Doubtful.insert(all[i].Node);
+      attempt->DoubtfulGates.insert(all[i].Node);
   }
   for (const std::string &gate : std::set<std::string>(attempt->Gates)) {
     ++node.Outstanding[gate];
@@ -146,7 +146,7 @@
 
 void World::sendOffer(const AttemptPtr &attempt, const std::string &gate) {
   Ticket ticket = ticketFor(*attempt);
-  ticket.AcceptsDoubtful = attempt->Doubtful.contains(gate);
+  ticket.AcceptsDoubtful = attempt->DoubtfulGates.contains(gate);
   send(attempt->Request->Entry, gate, [this, attempt, gate, ticket] {
     Node &node = Nodes.at(gate);
     node.AttemptsById[attempt->Id] = attempt;
