--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -40,7 +40,7 @@
 
   int Attempts = 0;
   /// Attempts that gates turned away at the price of one message.
-  int FreeTries = 0;
+  int FreeRetries = 0;
   std::set<std::string> Tried;
   bool MayHaveRun = false;
   bool WasSlotTaken = false;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -197,13 +197,13 @@
     call->Crashes = std::max(call->Crashes, 1);
   call->MayHaveRun = call->MayHaveRun || error.Run == RunState::Unknown;
   bool isSafe = call->IsIdempotent || !isEnabled(Mechanism::Retry);
-  call->FreeTries += isFreeRetry(error.Kind);
+  call->FreeRetries += isFreeRetry(error.Kind);
   RetryDecision decision =
-      decideRetry({error, isSafe, call->Attempts - call->FreeTries,
+      decideRetry({error, isSafe, call->Attempts - call->FreeRetries,
                    call->Deadline - Now, Micros(0)},
                   Nodes.at(call->Entry).Budget);
   if (decision.Verdict == RetryVerdict::Retry &&
-      call->FreeTries < FreeRetryLimit)
+      call->FreeRetries < FreeRetryLimit)
     return tryOnce(call);
   failCall(call, error);
 }
