--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -68,13 +68,13 @@
       deliver(it.Node, [this, name] {
         SimulatedEndpoint &endpoint = Endpoints.at(name);
         Node &home = Nodes.at(endpoint.Node);
-        Announcement facts{name,
-                           Service,
-                           name,
-                           endpoint.Slots,
-                           std::to_string(endpoint.Incarnation),
-                           endpoint.LeftAt != Instant::max()};
-        carryOut(home, announce(home.LocalGate, facts, Now));
+        Announcement announcement{name,
+                                  Service,
+                                  name,
+                                  endpoint.Slots,
+                                  std::to_string(endpoint.Incarnation),
+                                  endpoint.LeftAt != Instant::max()};
+        carryOut(home, announce(home.LocalGate, announcement, Now));
       });
     at(Now + AnnouncePeriod, *announceNow);
   };
