--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -67,14 +67,14 @@
     if (it.IsUp && it.Announces)
       deliver(it.Node, [this, name] {
         SimulatedEndpoint &endpoint = Endpoints.at(name);
-        Node &home = Nodes.at(endpoint.Node);
+        Node &gateNode = Nodes.at(endpoint.Node);
         Announcement announcement{name,
                                   Service,
                                   name,
                                   endpoint.Slots,
                                   std::to_string(endpoint.Incarnation),
                                   endpoint.LeftAt != Instant::max()};
-        carryOut(home, announce(home.LocalGate, announcement, Now));
+        carryOut(gateNode, announce(gateNode.LocalGate, announcement, Now));
       });
     at(Now + AnnouncePeriod, *announceNow);
   };
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -226,9 +226,9 @@
   std::string gate = attempt->ChosenGate.empty() ? *attempt->Gates.begin()
                                                  : attempt->ChosenGate;
   bool isSilent = !isLinkUp(entry, gate) || !isLinkUp(gate, entry);
-  Node &own = Nodes.at(entry);
+  Node &entryNode = Nodes.at(entry);
   if (isSilent) {
-    own.DownUntil[gate] = Now + milliseconds(500);
+    entryNode.DownUntil[gate] = Now + milliseconds(500);
     if (!isEnabled(Mechanism::Fence))
       return finishAttempt(attempt, CallOutcome::NotRun,
                            {ErrorKind::GateLost, RunState::NotRun, {}, {}});
@@ -240,11 +240,11 @@
     }
   } else if (!attempt->ChosenGate.empty()) {
     send(entry, gate, [this, attempt, gate, entry] {
-      Node &home = Nodes.at(gate);
+      Node &gateNode = Nodes.at(gate);
       GateActions actions;
-      StartState state =
-          revoke(home.LocalGate, attempt->Id, Now + seconds(60), Now, actions);
-      carryOut(home, actions);
+      StartState state = revoke(gateNode.LocalGate, attempt->Id,
+                                Now + seconds(60), Now, actions);
+      carryOut(gateNode, actions);
       send(gate, entry, [this, attempt, state] {
         if (state == StartState::Fenced)
           finishAttempt(attempt, CallOutcome::NotRun,
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -38,8 +38,8 @@
         bool isLate = it->IsFinished || !it->ChosenGate.empty();
         if (isLate) {
           send(it->Request->Entry, gate, [this, it, gate] {
-            Node &home = Nodes.at(gate);
-            carryOut(home, cancel(home.LocalGate, it->Id, Now));
+            Node &gateNode = Nodes.at(gate);
+            carryOut(gateNode, cancel(gateNode.LocalGate, it->Id, Now));
           });
           return;
         }
@@ -48,8 +48,8 @@
           if (other != gate) {
             removeGate(it, other);
             send(it->Request->Entry, other, [this, it, other] {
-              Node &home = Nodes.at(other);
-              carryOut(home, cancel(home.LocalGate, it->Id, Now));
+              Node &gateNode = Nodes.at(other);
+              carryOut(gateNode, cancel(gateNode.LocalGate, it->Id, Now));
             });
           }
         sendClaim(it, gate);
@@ -127,9 +127,9 @@
       return;
     if (it.IsStalled)
       return at(Now + milliseconds(20), *done);
-    std::string home = it.Running.at(attempt->Id);
-    deliver(home, [this, attempt, name, home] {
-      endWork(Nodes.at(home), attempt, name, AttemptOutcome::Answered);
+    std::string nodeName = it.Running.at(attempt->Id);
+    deliver(nodeName, [this, attempt, name, nodeName] {
+      endWork(Nodes.at(nodeName), attempt, name, AttemptOutcome::Answered);
     });
   };
   at(Now + call->Work, *done);
@@ -144,13 +144,14 @@
   traceEvent(endpoint.Name + " crashed");
   auto running = std::move(endpoint.Running);
   endpoint.Running.clear();
-  for (const auto &[id, home] : running)
-    deliver(home, [this, id = id, home = home, name = endpoint.Name] {
-      Node &node = Nodes.at(home);
-      auto it = node.AttemptsById.find(id);
-      if (it != node.AttemptsById.end())
-        endWork(node, it->second, name, AttemptOutcome::Crashed);
-    });
+  for (const auto &[id, nodeName] : running)
+    deliver(nodeName,
+            [this, id = id, nodeName = nodeName, name = endpoint.Name] {
+              Node &node = Nodes.at(nodeName);
+              auto it = node.AttemptsById.find(id);
+              if (it != node.AttemptsById.end())
+                endWork(node, it->second, name, AttemptOutcome::Crashed);
+            });
   at(Now + RestartTime,
      [this, name = endpoint.Name] { Endpoints.at(name).IsUp = true; });
 }
