--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -26,8 +26,8 @@
   for (const auto &[name, other] : Nodes) {
     Candidate it;
     it.Node = name;
-    bool isAny = false;
-    int best = 9;
+    bool hasEndpoint = false;
+    int bestRank = 9;
     for (const auto &[endpoint, real] : Endpoints) {
       if (real.Node != name)
         continue;
@@ -35,16 +35,16 @@
       if (known == node.KnownStandings.end() ||
           known->second == Standing::Draining)
         continue;
-      isAny = true;
+      hasEndpoint = true;
       it.Slots += real.Slots;
       constexpr int Ranks[] = {0, 2, 3, 1, 4};
       int rank = Ranks[int(known->second)];
-      if (rank < best) {
-        best = rank;
+      if (rank < bestRank) {
+        bestRank = rank;
         it.State = known->second;
       }
     }
-    if (!isAny)
+    if (!hasEndpoint)
       continue;
     it.IsLocal = name == node.Name;
     it.WasTried = call.Tried.contains(name);
