--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -16,8 +16,8 @@
 
 constexpr Micros SilenceLimit = milliseconds(700);
 constexpr Micros ResolvePeriod = milliseconds(100);
-constexpr Micros Grace = milliseconds(30);
-constexpr Micros LoadTerm = milliseconds(500);
+constexpr Micros DeadlineGrace = milliseconds(30);
+constexpr Micros LoadReportMaxAge = milliseconds(500);
 
 } // namespace
 
@@ -50,7 +50,7 @@
     it.WasTried = call.Tried.contains(name);
     it.IsPathUp = Now >= node.DownUntil[name];
     it.Outstanding = node.Outstanding[name];
-    bool isFresh = Now - node.LoadAt[name] < LoadTerm;
+    bool isFresh = Now - node.LoadAt[name] < LoadReportMaxAge;
     it.FreeSlots = isFresh ? node.Loads[name].FreeSlots
                            : std::max(it.Slots - it.Outstanding, 0);
     it.Queued = isFresh ? node.Loads[name].Queued : 0;
@@ -65,7 +65,7 @@
   Calls.push_back(it);
   Node &node = Nodes.at(it->Entry);
   node.Budget.noteFresh(Policy.RetryBudgetPercent);
-  at(it->Deadline + Grace, [this, it] {
+  at(it->Deadline + DeadlineGrace, [this, it] {
     if (it->Outcome == CallOutcome::Pending)
       finishCall(it, CallOutcome::Unknown, ErrorKind::DeadlineExceeded);
   });
