--- a/tests/scenarios/test_overload.cpp
+++ b/tests/scenarios/test_overload.cpp
@@ -62,7 +62,7 @@
         if (all[i].Refused == 0)
           continue;
         CHECK(all[i].RefusalMs50 <= kinds[i].TargetMs / PromptPart);
-        CHECK(all[i].UsefulAdvice == 1);
+        CHECK(all[i].UsefulRetryAfter == 1);
       }
     }
 }
--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -109,11 +109,11 @@
       refusals.push_back(msOf(took));
       bool isEarly = call->RetryAfter > Millis(0) &&
                      call->RetryAfter < Millis(kind.TimeoutMs);
-      out.UsefulAdvice += isEarly;
+      out.UsefulRetryAfter += isEarly;
     }
     double n = std::max(out.Requests, 1);
     double refused = std::max<double>(double(refusals.size()), 1);
-    out.UsefulAdvice /= refused;
+    out.UsefulRetryAfter /= refused;
     out.Answered /= n;
     out.InTarget /= n;
     out.Wasted /= n;
--- a/tests/world/overload.h
+++ b/tests/world/overload.h
@@ -40,7 +40,7 @@
   double RefusalMs50 = 0;
   double RefusalMs99 = 0;
   /// Refusals that name a time to come back, within the caller's own time.
-  double UsefulAdvice = 0;
+  double UsefulRetryAfter = 0;
   /// Requests that ran and whose callers got no answer.
   double Wasted = 0;
 
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -178,7 +178,7 @@
 
   Random Rng;
   /// Apart from the world's own, so that advice changes no session.
-  Random AdviceRng{1};
+  Random RetryAfterRng{1};
   Instant Now{std::chrono::seconds(10)};
   std::multimap<Instant, std::function<void()>> Queue;
   std::map<std::string, Node> Nodes;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -212,7 +212,7 @@
   bool isUnknown = finalError(error, call->MayHaveRun).Run == RunState::Unknown;
   if (call->Outcome == CallOutcome::Pending)
     call->RetryAfter = suggestRetryAfter(
-        error.RetryAfter, toMillis(call->Deadline - Now), AdviceRng);
+        error.RetryAfter, toMillis(call->Deadline - Now), RetryAfterRng);
   finishCall(call, isUnknown ? CallOutcome::Unknown : CallOutcome::NotRun,
              error.Kind);
 }
