--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -65,24 +65,24 @@
 class Trial {
 public:
   Trial(const Setup &setup, const Shape &shape, std::uint64_t seed, int lasting)
-      : Config(setup), Form(shape), It(seed), Begin(It.now()),
+      : Config(setup), Form(shape), Sim(seed), Begin(Sim.now()),
         Warm(Begin + seconds(3)), End(Begin + seconds(3 + lasting)) {
     for (int i = 0; i < Endpoints; ++i)
-      It.addNode("n" + std::to_string(i));
+      Sim.addNode("n" + std::to_string(i));
     for (int i = 0; i < Endpoints; ++i)
-      It.addEndpoint("e" + std::to_string(i),
-                     "n" + std::to_string(setup.IsShared ? 0 : i), Slots);
+      Sim.addEndpoint("e" + std::to_string(i),
+                      "n" + std::to_string(setup.IsShared ? 0 : i), Slots);
     ServicePolicy policy;
     policy.Router = setup.Router;
     policy.Admission = setup.Admission;
     policy.LongSlotsPercent = setup.LongSlotsPercent;
-    It.setPolicy(policy);
+    Sim.setPolicy(policy);
   }
 
   Figures run() {
-    It.runUntil(Begin + seconds(1));
+    Sim.runUntil(Begin + seconds(1));
     arrive();
-    It.runUntil(End + seconds(8));
+    Sim.runUntil(End + seconds(8));
     return measure();
   }
 
@@ -97,31 +97,31 @@
     double capacity = Endpoints * Slots / meanWork() / 1'000;
     double load = Form.Load;
     Instant crest = Warm + seconds(5);
-    if (Form.CrestLoad > 0 && It.now() > crest &&
-        It.now() < crest + seconds(20)) {
-      double rise = std::min(1.0, msOf(It.now() - crest) / 2'000);
+    if (Form.CrestLoad > 0 && Sim.now() > crest &&
+        Sim.now() < crest + seconds(20)) {
+      double rise = std::min(1.0, msOf(Sim.now() - crest) / 2'000);
       load += (Form.CrestLoad - load) * rise;
     }
     return load * capacity;
   }
 
   void arrive() {
-    if (It.now() >= End)
+    if (Sim.now() >= End)
       return;
     std::exponential_distribution<double> gap(rate());
-    Micros wait(1 + std::int64_t(gap(It.rng())));
-    It.at(It.now() + wait, [this] { arrive(); });
+    Micros wait(1 + std::int64_t(gap(Sim.rng())));
+    Sim.at(Sim.now() + wait, [this] { arrive(); });
     Call call;
     call.Id = std::to_string(++Count);
-    call.Entry = "n" + std::to_string(uniform(It.rng(), Endpoints));
-    call.IsLong = int(uniform(It.rng(), 100)) < Form.LongPercent;
+    call.Entry = "n" + std::to_string(uniform(Sim.rng(), Endpoints));
+    call.IsLong = int(uniform(Sim.rng(), 100)) < Form.LongPercent;
     call.Fingerprint = std::uint64_t(Count);
-    std::uint64_t spread = 50 + uniform(It.rng(), 101);
+    std::uint64_t spread = 50 + uniform(Sim.rng(), 101);
     call.Work =
         Micros(ShortMs * 10 * int(spread)) * (call.IsLong ? LongFactor : 1);
     call.Deadline =
-        It.now() + milliseconds(Form.TimeoutMs * (call.IsLong ? 5 : 1));
-    It.call(call);
+        Sim.now() + milliseconds(Form.TimeoutMs * (call.IsLong ? 5 : 1));
+    Sim.call(call);
   }
 
   Figures measure() const {
@@ -132,7 +132,7 @@
     std::size_t counted = 0;
     Instant from = Form.CrestLoad > 0 ? Warm + seconds(7) : Warm;
     Instant to = Form.CrestLoad > 0 ? Warm + seconds(25) : End;
-    for (const auto &call : It.calls()) {
+    for (const auto &call : Sim.calls()) {
       bool isAnswered = call->Outcome == CallOutcome::Answered;
       if (isAnswered && call->End >= from && call->End < to)
         servedWork += msOf(call->Work);
@@ -155,12 +155,12 @@
             servedWork / slotTime,
             double(refusals.size()) / double(std::max<std::size_t>(counted, 1)),
             quantile(refusals, 0.99),
-            double(It.messages()) / double(std::max(Count, 1))};
+            double(Sim.messages()) / double(std::max(Count, 1))};
   }
 
   Setup Config;
   Shape Form;
-  World It;
+  World Sim;
   Instant Begin;
   Instant Warm;
   Instant End;
--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -31,14 +31,14 @@
 class Play {
 public:
   Play(const Overload &overload, std::uint64_t seed)
-      : Form(overload), It(seed), Begin(It.now() + Settling),
+      : Form(overload), Sim(seed), Begin(Sim.now() + Settling),
         Rise(Begin + Warming), Fall(Rise + Lasting), End(Fall + Ending) {
     for (int i = 0; i < Nodes; ++i) {
       std::string number = std::to_string(i);
-      It.addNode("n" + number);
-      It.addEndpoint("e" + number, "n" + number, Slots);
+      Sim.addNode("n" + number);
+      Sim.addEndpoint("e" + number, "n" + number, Slots);
     }
-    It.setPolicy(overload.Policy);
+    Sim.setPolicy(overload.Policy);
     for (const RequestKind &kind : overload.Kinds)
       TotalWeight += kind.Weight;
     for (const RequestKind &kind : overload.Kinds)
@@ -46,9 +46,9 @@
   }
 
   std::vector<OverloadFigures> run() {
-    It.runUntil(Begin);
+    Sim.runUntil(Begin);
     arrive();
-    It.runUntil(End + seconds(5));
+    Sim.runUntil(End + seconds(5));
     std::vector<OverloadFigures> all;
     std::ranges::transform(
         Form.Kinds, std::back_inserter(all),
@@ -58,29 +58,29 @@
 
 private:
   void arrive() {
-    if (It.now() >= End)
+    if (Sim.now() >= End)
       return;
-    bool isPeak = It.now() >= Rise && It.now() < Fall;
+    bool isPeak = Sim.now() >= Rise && Sim.now() < Fall;
     double load = isPeak ? Form.PeakLoad : Form.Load;
     double perMicro = load * Nodes * Slots / MeanWorkMs / 1'000;
     std::exponential_distribution<double> gap(perMicro);
-    Micros wait(1 + std::int64_t(gap(It.rng())));
-    It.at(It.now() + wait, [this] { arrive(); });
+    Micros wait(1 + std::int64_t(gap(Sim.rng())));
+    Sim.at(Sim.now() + wait, [this] { arrive(); });
     Call call;
     const RequestKind &kind = pickKind();
     call.Id = std::to_string(++Count);
-    call.Entry = "n" + std::to_string(uniform(It.rng(), Nodes));
+    call.Entry = "n" + std::to_string(uniform(Sim.rng(), Nodes));
     call.Class = kind.Name;
     call.Priority = kind.Priority;
     call.Fingerprint = std::uint64_t(Count);
-    auto percent = std::int64_t(50 + uniform(It.rng(), 101));
+    auto percent = std::int64_t(50 + uniform(Sim.rng(), 101));
     call.Work = Micros(percent * kind.WorkMs * 10);
-    call.Deadline = It.now() + milliseconds(kind.TimeoutMs);
-    It.call(call);
+    call.Deadline = Sim.now() + milliseconds(kind.TimeoutMs);
+    Sim.call(call);
   }
 
   const RequestKind &pickKind() {
-    auto left = int(uniform(It.rng(), std::uint64_t(TotalWeight)));
+    auto left = int(uniform(Sim.rng(), std::uint64_t(TotalWeight)));
     for (const RequestKind &kind : Form.Kinds) {
       left -= kind.Weight;
       if (left < 0)
@@ -93,7 +93,7 @@
     OverloadFigures out;
     out.Kind = kind.Name;
     std::vector<double> refusals;
-    for (const auto &call : It.calls()) {
+    for (const auto &call : Sim.calls()) {
       bool isCounted =
           call->Class == kind.Name && call->Start >= Rise && call->Start < Fall;
       if (!isCounted)
@@ -124,7 +124,7 @@
   }
 
   const Overload &Form;
-  World It;
+  World Sim;
   Instant Begin;
   Instant Rise;
   Instant Fall;
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -55,18 +55,18 @@
       if (!words.empty())
         take(words);
     }
-    return {Failures, It ? It->trace() : Words{}};
+    return {Failures, Sim ? Sim->trace() : Words{}};
   }
 
 private:
   World &world() {
-    if (!It) {
-      It = std::make_unique<World>(Seed);
-      Begin = It->now();
+    if (!Sim) {
+      Sim = std::make_unique<World>(Seed);
+      Begin = Sim->now();
       for (const std::string &name : Disabled)
-        It->disable(Mechanisms.at(name));
+        Sim->disable(Mechanisms.at(name));
     }
-    return *It;
+    return *Sim;
   }
 
   void take(const Words &words) {
@@ -257,7 +257,7 @@
 
   Words Disabled;
   std::uint64_t Seed = 1;
-  std::unique_ptr<World> It;
+  std::unique_ptr<World> Sim;
   Instant Begin;
   ServicePolicy Policy;
   Words NodeNames;
