--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -32,10 +32,10 @@
 }
 
 /// The number after a word, or a default.
-int numberAfter(const Words &words, const std::string &word, int otherwise) {
+int numberAfter(const Words &words, const std::string &word, int fallback) {
   auto it = std::ranges::find(words, word);
   if (it == words.end() || it + 1 == words.end())
-    return otherwise;
+    return fallback;
   return std::stoi(*(it + 1));
 }
 
@@ -53,7 +53,7 @@
       std::istringstream split(line);
       Words words{std::istream_iterator<std::string>(split), {}};
       if (!words.empty())
-        take(words);
+        runLine(words);
     }
     return {Failures, Sim ? Sim->trace() : Words{}};
   }
@@ -69,7 +69,7 @@
     return *Sim;
   }
 
-  void take(const Words &words) {
+  void runLine(const Words &words) {
     const std::string &first = words[0];
     if (first == "seed")
       Seed = std::stoull(words.at(1));
@@ -109,10 +109,10 @@
   void schedule(const Words &words) {
     Instant time = Begin + milliseconds(std::stoi(words.at(1)));
     Words action(words.begin() + 2, words.end());
-    world().at(time, [this, action] { act(action); });
+    world().at(time, [this, action] { perform(action); });
   }
 
-  void act(const Words &words) {
+  void perform(const Words &words) {
     World &w = world();
     const std::string &first = words[0];
     if (first == "load")
@@ -160,16 +160,17 @@
     int longPercent = numberAfter(words, "long", 0);
     int work = numberAfter(words, "work", 25);
     bool isPost = contains(words, "post");
-    arrive(rate, end, longPercent, work, isPost);
+    scheduleArrivals(rate, end, longPercent, work, isPost);
   }
 
-  void arrive(int rate, Instant end, int longPercent, int work, bool isPost) {
+  void scheduleArrivals(int rate, Instant end, int longPercent, int work,
+                        bool isPost) {
     World &w = world();
     if (w.now() >= end)
       return;
     std::exponential_distribution<double> gap(rate / 1e6);
     w.at(w.now() + Micros(1 + std::int64_t(gap(w.rng()))),
-         [=, this] { arrive(rate, end, longPercent, work, isPost); });
+         [=, this] { scheduleArrivals(rate, end, longPercent, work, isPost); });
     Call call;
     call.Id = "load" + std::to_string(++NextLoad);
     call.Entry = NodeNames[uniform(w.rng(), NodeNames.size())];
