--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -195,7 +195,7 @@
       expect(w.maxEjected() <= std::stoi(words.back()),
              "ejected at once: " + std::to_string(w.maxEjected()));
     else if (first == "honest")
-      checkHonest();
+      checkOutcomes();
     else if (first == "crashes")
       checkCrashes(std::stoi(words.back()));
     else if (first == "left")
@@ -218,7 +218,7 @@
 
   /// Each caller has one answer, in time; what it says of the run is true;
   /// non-idempotent work has run once at the most.
-  void checkHonest() {
+  void checkOutcomes() {
     for (const auto &call : world().calls()) {
       if (call->Deadline + milliseconds(50) > world().now())
         continue;
