--- a/tests/bench/overloadtable.cpp
+++ b/tests/bench/overloadtable.cpp
@@ -49,7 +49,7 @@
       overload.Policy.Admission = way.Admission;
       overload.Policy.LongSlotsPercent = 100;
       overload.Policy.TargetLatency = Millis(800);
-      for (const OverloadFigures &it : playOverload(overload, seed))
+      for (const OverloadFigures &it : runOverload(overload, seed))
         std::printf("%-9.1f %-41s %-7s %8.3f %8.3f %8.3f %8.1f %8.1f %8.3f\n",
                     load, way.Name, it.Kind.c_str(), it.InTarget, it.Answered,
                     it.Refused, it.RefusalMs50, it.RefusalMs99, it.Wasted);
--- a/tests/scenarios/test_overload.cpp
+++ b/tests/scenarios/test_overload.cpp
@@ -32,7 +32,7 @@
   for (double load : {1.2, 2.0, 4.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       INFO(loadName(load) << " seed " << seed);
-      std::vector<OverloadFigures> all = playOverload(overloadOf(load), seed);
+      std::vector<OverloadFigures> all = runOverload(overloadOf(load), seed);
       for (std::size_t i = 1; i < all.size(); ++i)
         CHECK(all[i - 1].Answered >= all[i].Answered - OrderSlack);
     }
@@ -44,7 +44,7 @@
   // than a third of the slots.
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
-    std::vector<OverloadFigures> all = playOverload(overloadOf(2.0), seed);
+    std::vector<OverloadFigures> all = runOverload(overloadOf(2.0), seed);
     CHECK(all[0].InTarget >= 0.95);
   }
 }
@@ -56,7 +56,7 @@
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       INFO(loadName(load) << " seed " << seed);
       std::vector<RequestKind> kinds = usualKinds();
-      std::vector<OverloadFigures> all = playOverload(overloadOf(load), seed);
+      std::vector<OverloadFigures> all = runOverload(overloadOf(load), seed);
       for (std::size_t i = 0; i < all.size(); ++i) {
         INFO(all[i].Kind);
         if (all[i].Refused == 0)
@@ -71,7 +71,7 @@
           "[overload]") {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
-    for (const OverloadFigures &it : playOverload(overloadOf(4.0), seed))
+    for (const OverloadFigures &it : runOverload(overloadOf(4.0), seed))
       CHECK(it.Wasted <= 0.01);
   }
 }
--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -28,9 +28,9 @@
   return values[std::size_t(q * double(values.size() - 1))];
 }
 
-class Play {
+class OverloadRun {
 public:
-  Play(const Overload &overload, std::uint64_t seed)
+  OverloadRun(const Overload &overload, std::uint64_t seed)
       : Form(overload), Sim(seed), Begin(Sim.now() + Settling),
         Rise(Begin + Warming), Fall(Rise + Lasting), End(Fall + Ending) {
     for (int i = 0; i < Nodes; ++i) {
@@ -136,9 +136,9 @@
 
 } // namespace
 
-std::vector<OverloadFigures> playOverload(const Overload &overload,
-                                          std::uint64_t seed) {
-  return Play(overload, seed).run();
+std::vector<OverloadFigures> runOverload(const Overload &overload,
+                                         std::uint64_t seed) {
+  return OverloadRun(overload, seed).run();
 }
 
 std::vector<RequestKind> usualKinds() {
--- a/tests/world/overload.h
+++ b/tests/world/overload.h
@@ -48,8 +48,8 @@
 };
 
 /// Figures by kind, in the order of the kinds; the same for the same seed.
-std::vector<OverloadFigures> playOverload(const Overload &overload,
-                                          std::uint64_t seed);
+std::vector<OverloadFigures> runOverload(const Overload &overload,
+                                         std::uint64_t seed);
 
 /// Three kinds like those of a service that sells: urgent and short, usual,
 /// and slow ones that can wait.
