--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -14,10 +14,10 @@
 
 constexpr int Nodes = 8;
 constexpr int Slots = 3;
-constexpr seconds Settling{1};
-constexpr seconds Warming{4};
-constexpr seconds Lasting{20};
-constexpr seconds Ending{5};
+constexpr seconds SettleTime{1};
+constexpr seconds WarmUpTime{4};
+constexpr seconds PeakTime{20};
+constexpr seconds CoolDownTime{5};
 
 double msOf(Micros time) { return double(time.count()) / 1'000; }
 
@@ -31,8 +31,9 @@
 class OverloadRun {
 public:
   OverloadRun(const Overload &overload, std::uint64_t seed)
-      : Form(overload), Sim(seed), Begin(Sim.now() + Settling),
-        Rise(Begin + Warming), Fall(Rise + Lasting), End(Fall + Ending) {
+      : Form(overload), Sim(seed), Begin(Sim.now() + SettleTime),
+        PeakBegin(Begin + WarmUpTime), PeakEnd(PeakBegin + PeakTime),
+        End(PeakEnd + CoolDownTime) {
     for (int i = 0; i < Nodes; ++i) {
       std::string number = std::to_string(i);
       Sim.addNode("n" + number);
@@ -60,7 +61,7 @@
   void arrive() {
     if (Sim.now() >= End)
       return;
-    bool isPeak = Sim.now() >= Rise && Sim.now() < Fall;
+    bool isPeak = Sim.now() >= PeakBegin && Sim.now() < PeakEnd;
     double load = isPeak ? Form.PeakLoad : Form.Load;
     double perMicro = load * Nodes * Slots / MeanWorkMs / 1'000;
     std::exponential_distribution<double> gap(perMicro);
@@ -94,8 +95,8 @@
     out.Kind = kind.Name;
     std::vector<double> refusals;
     for (const auto &call : Sim.calls()) {
-      bool isCounted =
-          call->Class == kind.Name && call->Start >= Rise && call->Start < Fall;
+      bool isCounted = call->Class == kind.Name && call->Start >= PeakBegin &&
+                       call->Start < PeakEnd;
       if (!isCounted)
         continue;
       ++out.Requests;
@@ -126,8 +127,8 @@
   const Overload &Form;
   World Sim;
   Instant Begin;
-  Instant Rise;
-  Instant Fall;
+  Instant PeakBegin;
+  Instant PeakEnd;
   Instant End;
   int TotalWeight = 0;
   double MeanWorkMs = 0;
