--- a/tests/bench/overloadtable.cpp
+++ b/tests/bench/overloadtable.cpp
@@ -42,7 +42,7 @@
   for (double load : {1.2, 2.0, 4.0})
     for (const Way &way : Ways) {
       Overload overload;
-      overload.Kinds = usualKinds();
+      overload.Kinds = defaultKinds();
       overload.PeakLoad = load;
       overload.Policy.Router = way.Router;
       overload.Policy.Order = way.Order;
--- a/tests/scenarios/test_overload.cpp
+++ b/tests/scenarios/test_overload.cpp
@@ -17,7 +17,7 @@
 
 Overload overloadOf(double load) {
   Overload overload;
-  overload.Kinds = usualKinds();
+  overload.Kinds = defaultKinds();
   overload.PeakLoad = load;
   overload.Policy.LongSlotsPercent = 100;
   return overload;
@@ -55,7 +55,7 @@
   for (double load : {2.0, 4.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       INFO(loadName(load) << " seed " << seed);
-      std::vector<RequestKind> kinds = usualKinds();
+      std::vector<RequestKind> kinds = defaultKinds();
       std::vector<OverloadFigures> all = runOverload(overloadOf(load), seed);
       for (std::size_t i = 0; i < all.size(); ++i) {
         INFO(all[i].Kind);
--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -142,7 +142,7 @@
   return OverloadRun(overload, seed).run();
 }
 
-std::vector<RequestKind> usualKinds() {
+std::vector<RequestKind> defaultKinds() {
   return {{"order", 0, 500, 1'200, 130, 2},
           {"charge", 1, 800, 2'000, 190, 5},
           {"view", 2, 800, 1'500, 250, 2}};
--- a/tests/world/overload.h
+++ b/tests/world/overload.h
@@ -53,6 +53,6 @@
 
 /// Three kinds like those of a service that sells: urgent and short, usual,
 /// and slow ones that can wait.
-std::vector<RequestKind> usualKinds();
+std::vector<RequestKind> defaultKinds();
 
 } // namespace hickoryglade::world
