--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -33,7 +33,7 @@
   bool IsShared = false;
 };
 
-struct Shape {
+struct LoadProfile {
   std::string Name;
   double Load = 0.7;
   int LongPercent = 2;
@@ -64,8 +64,9 @@
 
 class Trial {
 public:
-  Trial(const Setup &setup, const Shape &shape, std::uint64_t seed, int lasting)
-      : Config(setup), Form(shape), Sim(seed), Begin(Sim.now()),
+  Trial(const Setup &setup, const LoadProfile &profile, std::uint64_t seed,
+        int lasting)
+      : Config(setup), Form(profile), Sim(seed), Begin(Sim.now()),
         Warm(Begin + seconds(3)), End(Begin + seconds(3 + lasting)) {
     for (int i = 0; i < Endpoints; ++i)
       Sim.addNode("n" + std::to_string(i));
@@ -159,7 +160,7 @@
   }
 
   Setup Config;
-  Shape Form;
+  LoadProfile Form;
   World Sim;
   Instant Begin;
   Instant Warm;
@@ -172,7 +173,7 @@
 int main(int argc, char **argv) {
   std::uint64_t seed = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1;
   int lasting = argc > 2 ? std::atoi(argv[2]) : 60;
-  const std::vector<Shape> shapes = {
+  const std::vector<LoadProfile> profiles = {
       {"70% no long", 0.7, 0, 0, 2'000},  {"70% 2% long", 0.7, 2, 0, 2'000},
       {"85% no long", 0.85, 0, 0, 2'000}, {"85% 2% long", 0.85, 2, 0, 2'000},
       {"crest x5", 0.6, 2, 3.0, 2'000},
@@ -188,15 +189,15 @@
   std::printf("%-12s %-21s %7s %7s %7s %9s %8s %8s %9s %8s\n", "load", "policy",
               "p50", "p99", "p99.9", "longstart", "goodput", "refused",
               "refusal99", "msg/req");
-  for (const Shape &shape : shapes)
+  for (const LoadProfile &profile : profiles)
     for (const Setup &setup : setups) {
-      Figures f = Trial(setup, shape, seed, lasting).run();
+      Figures f = Trial(setup, profile, seed, lasting).run();
       std::printf(
           "%-12s %-21s %7.1f %7.1f %7.1f %9.2f %8.3f %8.3f %9.1f %8.2f\n",
-          shape.Name.c_str(), setup.Name.c_str(), f.P50, f.P99, f.P999,
+          profile.Name.c_str(), setup.Name.c_str(), f.P50, f.P99, f.P999,
           f.LongStart99, f.Goodput, f.Refused, f.RefusalMs99,
           f.MessagesPerRequest);
-      all.push_back({{"load", shape.Name},
+      all.push_back({{"load", profile.Name},
                      {"policy", setup.Name},
                      {"p50_ms", f.P50},
                      {"p99_ms", f.P99},
