--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -66,7 +66,7 @@
 public:
   Trial(const Setup &setup, const LoadProfile &profile, std::uint64_t seed,
         int lasting)
-      : Config(setup), Form(profile), Sim(seed), Begin(Sim.now()),
+      : Config(setup), Profile(profile), Sim(seed), Begin(Sim.now()),
         Warm(Begin + seconds(3)), End(Begin + seconds(3 + lasting)) {
     for (int i = 0; i < Endpoints; ++i)
       Sim.addNode("n" + std::to_string(i));
@@ -90,18 +90,18 @@
 private:
   /// Mean slot time of a request, in milliseconds.
   double meanWork() const {
-    return ShortMs * (1 + Form.LongPercent / 100.0 * (LongFactor - 1));
+    return ShortMs * (1 + Profile.LongPercent / 100.0 * (LongFactor - 1));
   }
 
   /// Arrivals a microsecond; the crest lasts 20 s, rises within 2 s.
   double rate() const {
     double capacity = Endpoints * Slots / meanWork() / 1'000;
-    double load = Form.Load;
+    double load = Profile.Load;
     Instant crest = Warm + seconds(5);
-    if (Form.CrestLoad > 0 && Sim.now() > crest &&
+    if (Profile.CrestLoad > 0 && Sim.now() > crest &&
         Sim.now() < crest + seconds(20)) {
       double rise = std::min(1.0, msOf(Sim.now() - crest) / 2'000);
-      load += (Form.CrestLoad - load) * rise;
+      load += (Profile.CrestLoad - load) * rise;
     }
     return load * capacity;
   }
@@ -115,13 +115,13 @@
     Call call;
     call.Id = std::to_string(++Count);
     call.Entry = "n" + std::to_string(uniform(Sim.rng(), Endpoints));
-    call.IsLong = int(uniform(Sim.rng(), 100)) < Form.LongPercent;
+    call.IsLong = int(uniform(Sim.rng(), 100)) < Profile.LongPercent;
     call.Fingerprint = std::uint64_t(Count);
     std::uint64_t spread = 50 + uniform(Sim.rng(), 101);
     call.Work =
         Micros(ShortMs * 10 * int(spread)) * (call.IsLong ? LongFactor : 1);
     call.Deadline =
-        Sim.now() + milliseconds(Form.TimeoutMs * (call.IsLong ? 5 : 1));
+        Sim.now() + milliseconds(Profile.TimeoutMs * (call.IsLong ? 5 : 1));
     Sim.call(call);
   }
 
@@ -131,8 +131,8 @@
     std::vector<double> refusals;
     double servedWork = 0;
     std::size_t counted = 0;
-    Instant from = Form.CrestLoad > 0 ? Warm + seconds(7) : Warm;
-    Instant to = Form.CrestLoad > 0 ? Warm + seconds(25) : End;
+    Instant from = Profile.CrestLoad > 0 ? Warm + seconds(7) : Warm;
+    Instant to = Profile.CrestLoad > 0 ? Warm + seconds(25) : End;
     for (const auto &call : Sim.calls()) {
       bool isAnswered = call->Outcome == CallOutcome::Answered;
       if (isAnswered && call->End >= from && call->End < to)
@@ -160,7 +160,7 @@
   }
 
   Setup Config;
-  LoadProfile Form;
+  LoadProfile Profile;
   World Sim;
   Instant Begin;
   Instant Warm;
--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -31,7 +31,7 @@
 class OverloadRun {
 public:
   OverloadRun(const Overload &overload, std::uint64_t seed)
-      : Form(overload), Sim(seed), Begin(Sim.now() + SettleTime),
+      : Profile(overload), Sim(seed), Begin(Sim.now() + SettleTime),
         PeakBegin(Begin + WarmUpTime), PeakEnd(PeakBegin + PeakTime),
         End(PeakEnd + CoolDownTime) {
     for (int i = 0; i < Nodes; ++i) {
@@ -52,7 +52,7 @@
     Sim.runUntil(End + seconds(5));
     std::vector<OverloadFigures> all;
     std::ranges::transform(
-        Form.Kinds, std::back_inserter(all),
+        Profile.Kinds, std::back_inserter(all),
         [this](const RequestKind &it) { return measure(it); });
     return all;
   }
@@ -62,7 +62,7 @@
     if (Sim.now() >= End)
       return;
     bool isPeak = Sim.now() >= PeakBegin && Sim.now() < PeakEnd;
-    double load = isPeak ? Form.PeakLoad : Form.Load;
+    double load = isPeak ? Profile.PeakLoad : Profile.Load;
     double perMicro = load * Nodes * Slots / MeanWorkMs / 1'000;
     std::exponential_distribution<double> gap(perMicro);
     Micros wait(1 + std::int64_t(gap(Sim.rng())));
@@ -82,12 +82,12 @@
 
   const RequestKind &pickKind() {
     auto left = int(uniform(Sim.rng(), std::uint64_t(TotalWeight)));
-    for (const RequestKind &kind : Form.Kinds) {
+    for (const RequestKind &kind : Profile.Kinds) {
       left -= kind.Weight;
       if (left < 0)
         return kind;
     }
-    return Form.Kinds.back();
+    return Profile.Kinds.back();
   }
 
   OverloadFigures measure(const RequestKind &kind) const {
@@ -124,7 +124,7 @@
     return out;
   }
 
-  const Overload &Form;
+  const Overload &Profile;
   World Sim;
   Instant Begin;
   Instant PeakBegin;
