--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -62,10 +62,10 @@
 
 double msOf(Micros time) { return double(time.count()) / 1'000; }
 
-class Trial {
+class PlacementRun {
 public:
-  Trial(const Setup &setup, const LoadProfile &profile, std::uint64_t seed,
-        int lasting)
+  PlacementRun(const Setup &setup, const LoadProfile &profile,
+               std::uint64_t seed, int lasting)
       : Config(setup), Profile(profile), Sim(seed), Begin(Sim.now()),
         Warm(Begin + seconds(3)), End(Begin + seconds(3 + lasting)) {
     for (int i = 0; i < Endpoints; ++i)
@@ -191,7 +191,7 @@
               "refusal99", "msg/req");
   for (const LoadProfile &profile : profiles)
     for (const Setup &setup : setups) {
-      Figures f = Trial(setup, profile, seed, lasting).run();
+      Figures f = PlacementRun(setup, profile, seed, lasting).run();
       std::printf(
           "%-12s %-21s %7.1f %7.1f %7.1f %9.2f %8.3f %8.3f %9.1f %8.2f\n",
           profile.Name.c_str(), setup.Name.c_str(), f.P50, f.P99, f.P999,
