--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -37,7 +37,7 @@
   std::string Name;
   double Load = 0.7;
   int LongPercent = 2;
-  double CrestLoad = 0;
+  double PeakLoad = 0;
   int TimeoutMs = 2'000;
 };
 
@@ -67,7 +67,7 @@
   PlacementRun(const Setup &setup, const LoadProfile &profile,
                std::uint64_t seed, int lasting)
       : Config(setup), Profile(profile), Sim(seed), Begin(Sim.now()),
-        Warm(Begin + seconds(3)), End(Begin + seconds(3 + lasting)) {
+        WarmUpEnd(Begin + seconds(3)), End(Begin + seconds(3 + lasting)) {
     for (int i = 0; i < Endpoints; ++i)
       Sim.addNode("n" + std::to_string(i));
     for (int i = 0; i < Endpoints; ++i)
@@ -97,11 +97,11 @@
   double rate() const {
     double capacity = Endpoints * Slots / meanWork() / 1'000;
     double load = Profile.Load;
-    Instant crest = Warm + seconds(5);
-    if (Profile.CrestLoad > 0 && Sim.now() > crest &&
-        Sim.now() < crest + seconds(20)) {
-      double rise = std::min(1.0, msOf(Sim.now() - crest) / 2'000);
-      load += (Profile.CrestLoad - load) * rise;
+    Instant peakBegin = WarmUpEnd + seconds(5);
+    if (Profile.PeakLoad > 0 && Sim.now() > peakBegin &&
+        Sim.now() < peakBegin + seconds(20)) {
+      double rise = std::min(1.0, msOf(Sim.now() - peakBegin) / 2'000);
+      load += (Profile.PeakLoad - load) * rise;
     }
     return load * capacity;
   }
@@ -131,8 +131,8 @@
     std::vector<double> refusals;
     double servedWork = 0;
     std::size_t counted = 0;
-    Instant from = Profile.CrestLoad > 0 ? Warm + seconds(7) : Warm;
-    Instant to = Profile.CrestLoad > 0 ? Warm + seconds(25) : End;
+    Instant from = Profile.PeakLoad > 0 ? WarmUpEnd + seconds(7) : WarmUpEnd;
+    Instant to = Profile.PeakLoad > 0 ? WarmUpEnd + seconds(25) : End;
     for (const auto &call : Sim.calls()) {
       bool isAnswered = call->Outcome == CallOutcome::Answered;
       if (isAnswered && call->End >= from && call->End < to)
@@ -163,7 +163,7 @@
   LoadProfile Profile;
   World Sim;
   Instant Begin;
-  Instant Warm;
+  Instant WarmUpEnd;
   Instant End;
   int Count = 0;
 };
