--- a/tests/bench/overloadtable.cpp
+++ b/tests/bench/overloadtable.cpp
@@ -12,14 +12,14 @@
 using namespace hickoryglade;
 using namespace hickoryglade::world;
 
-struct Way {
+struct Variant {
   const char *Name;
   const char *Router;
   QueueOrder Order;
   const char *Admission;
 };
 
-constexpr Way Ways[] = {
+constexpr Variant Variants[] = {
     {"tickets, rank, by deadline", "tickets", QueueOrder::Priority, "deadline"},
     {"direct, rank, by deadline", "two_choices", QueueOrder::Priority,
      "deadline"},
@@ -40,19 +40,20 @@
               "kind", "in time", "answered", "refused", "after50", "after99",
               "wasted");
   for (double load : {1.2, 2.0, 4.0})
-    for (const Way &way : Ways) {
+    for (const Variant &variant : Variants) {
       Overload overload;
       overload.Kinds = defaultKinds();
       overload.PeakLoad = load;
-      overload.Policy.Router = way.Router;
-      overload.Policy.Order = way.Order;
-      overload.Policy.Admission = way.Admission;
+      overload.Policy.Router = variant.Router;
+      overload.Policy.Order = variant.Order;
+      overload.Policy.Admission = variant.Admission;
       overload.Policy.LongSlotsPercent = 100;
       overload.Policy.TargetLatency = Millis(800);
       for (const OverloadFigures &it : runOverload(overload, seed))
         std::printf("%-9.1f %-41s %-7s %8.3f %8.3f %8.3f %8.1f %8.1f %8.3f\n",
-                    load, way.Name, it.Kind.c_str(), it.InTarget, it.Answered,
-                    it.Refused, it.RefusalMs50, it.RefusalMs99, it.Wasted);
+                    load, variant.Name, it.Kind.c_str(), it.InTarget,
+                    it.Answered, it.Refused, it.RefusalMs50, it.RefusalMs99,
+                    it.Wasted);
     }
   return 0;
 }
