--- a/tests/bench/loadtool.cpp
+++ b/tests/bench/loadtool.cpp
@@ -129,7 +129,7 @@
 }
 
 /// Processor time a request at a node that is entry and gate, in microseconds.
-double costOfRequest(const std::string &logLevel) {
+double cpuPerRequest(const std::string &logLevel) {
   TestFleet fleet;
   fleet.setLogLevel(logLevel);
   fleet.startLog();
@@ -150,8 +150,8 @@
   std::vector<double> with;
   std::vector<double> without;
   for (int i = 0; i < Rounds; ++i) {
-    with.push_back(costOfRequest("info"));
-    without.push_back(costOfRequest("error"));
+    with.push_back(cpuPerRequest("info"));
+    without.push_back(cpuPerRequest("error"));
   }
   double high = quantile(with, 0.5);
   double low = quantile(without, 0.5);
