--- a/tests/scenarios/test_scenarios.cpp
+++ b/tests/scenarios/test_scenarios.cpp
@@ -48,7 +48,7 @@
 }
 
 /// A scenario of random faults that a seed decides.
-std::string mixOf(std::uint64_t seed) {
+std::string makeRandomScenario(std::uint64_t seed) {
   const char *kinds[] = {"cut", "pause", "stall", "leave", "log", "poison"};
   hickoryglade::Random rng(seed);
   auto pick = [&](std::uint64_t n) {
@@ -101,10 +101,10 @@
 constexpr std::uint64_t FailedSeeds[] = {539,   4951,  11298, 13417,
                                          32865, 51871, 71478};
 
-void requireKept(std::uint64_t seed) {
-  std::string mix = mixOf(seed);
-  ScenarioResult result = runScenario(mix, {});
-  INFO("seed " << seed << "\n" << mix << joined(result.Failures));
+void requireHolds(std::uint64_t seed) {
+  std::string scenario = makeRandomScenario(seed);
+  ScenarioResult result = runScenario(scenario, {});
+  INFO("seed " << seed << "\n" << scenario << joined(result.Failures));
   REQUIRE(result.Failures.empty());
 }
 
@@ -144,7 +144,7 @@
   if (const char *text = std::getenv("MIX_SEED"))
     first = std::strtoull(text, nullptr, 10);
   for (std::uint64_t seed = first; seed < first + std::uint64_t(runs); ++seed)
-    requireKept(seed);
+    requireHolds(seed);
   for (std::uint64_t seed : FailedSeeds)
-    requireKept(seed);
+    requireHolds(seed);
 }
