--- a/tests/scenarios/test_overload.cpp
+++ b/tests/scenarios/test_overload.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 /// Share of requests by which a less urgent kind may be answered more often.
-constexpr double OrderSlack = 0.05;
+constexpr double PriorityTolerance = 0.05;
 
 /// A refusal is prompt within the target latency divided by this.
-constexpr double PromptPart = 8;
+constexpr double PromptRefusalDivisor = 8;
 
-Overload overloadOf(double load) {
+Overload makeOverload(double load) {
   Overload overload;
   overload.Kinds = defaultKinds();
   overload.PeakLoad = load;
@@ -32,9 +32,9 @@
   for (double load : {1.2, 2.0, 4.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       INFO(loadName(load) << " seed " << seed);
-      std::vector<OverloadFigures> all = runOverload(overloadOf(load), seed);
+      std::vector<OverloadFigures> all = runOverload(makeOverload(load), seed);
       for (std::size_t i = 1; i < all.size(); ++i)
-        CHECK(all[i - 1].Answered >= all[i].Answered - OrderSlack);
+        CHECK(all[i - 1].Answered >= all[i].Answered - PriorityTolerance);
     }
 }
 
@@ -44,7 +44,7 @@
   // than a third of the slots.
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
-    std::vector<OverloadFigures> all = runOverload(overloadOf(2.0), seed);
+    std::vector<OverloadFigures> all = runOverload(makeOverload(2.0), seed);
     CHECK(all[0].InTarget >= 0.95);
   }
 }
@@ -56,12 +56,12 @@
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       INFO(loadName(load) << " seed " << seed);
       std::vector<RequestKind> kinds = defaultKinds();
-      std::vector<OverloadFigures> all = runOverload(overloadOf(load), seed);
+      std::vector<OverloadFigures> all = runOverload(makeOverload(load), seed);
       for (std::size_t i = 0; i < all.size(); ++i) {
         INFO(all[i].Kind);
         if (all[i].Refused == 0)
           continue;
-        CHECK(all[i].RefusalMs50 <= kinds[i].TargetMs / PromptPart);
+        CHECK(all[i].RefusalMs50 <= kinds[i].TargetMs / PromptRefusalDivisor);
         CHECK(all[i].UsefulRetryAfter == 1);
       }
     }
@@ -71,7 +71,7 @@
           "[overload]") {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
-    for (const OverloadFigures &it : runOverload(overloadOf(4.0), seed))
+    for (const OverloadFigures &it : runOverload(makeOverload(4.0), seed))
       CHECK(it.Wasted <= 0.01);
   }
 }
