--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -224,7 +224,8 @@
   }
 }
 
-/// What gossip brings, at its usual pace.
+/// Copies endpoint standings between connected nodes once a GossipPeriod, in
+/// place of gossip messages.
 void World::gossipStandings() {
   at(Now + GossipPeriod, [this] { gossipStandings(); });
   for (auto &[to, node] : Nodes) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -16,18 +16,18 @@
 
 namespace hickoryglade::world {
 
-/// Mechanisms that a run may leave out, to show what they are for.
+/// Mechanisms that a run can disable to show that a scenario needs them.
 enum class Mechanism { Leases, LeaseTerm, Fence, Quarantine, Retry };
 
-/// What a caller was told.
+/// Outcome that a caller sees.
 enum class CallOutcome { Pending, Answered, NotRun, Unknown };
 
-/// A caller's request.
+/// A caller's request with its state and outcome.
 struct Call {
   std::string Id;
   std::string Entry;
   std::string Workspace = "w";
-  /// Names a kind of request whose costs are alike.
+  /// Cost class: requests of one class cost about the same.
   std::string Class;
   int Priority = 0;
   Instant Start;
@@ -39,7 +39,7 @@
   std::uint64_t Fingerprint = 0;
 
   int Attempts = 0;
-  /// Attempts that gates turned away at the price of one message.
+  /// Refused attempts that cost a single message; FreeRetryLimit bounds them.
   int FreeRetries = 0;
   std::set<std::string> Tried;
   bool MayHaveRun = false;
@@ -58,7 +58,7 @@
   }
 };
 
-/// An endpoint as it really is, not as anyone believes.
+/// Actual state of an endpoint, which nodes learn of with a delay.
 struct SimulatedEndpoint {
   std::string Name;
   std::string Node;
@@ -73,8 +73,9 @@
   std::map<std::string, std::string> Running;
 };
 
-/// Gates and entries of the kernel on virtual time, with endpoints, a log and
-/// a faultable network around them. One service, "w/s".
+/// Discrete-event simulation of a fleet with one service, "w/s". The kernel's
+/// gates and entries run on virtual time with simulated endpoints, a simulated
+/// log and a simulated network, all of which can fail.
 class World {
 public:
   explicit World(std::uint64_t seed);
@@ -84,13 +85,13 @@
   void setPolicy(const ServicePolicy &policy);
   void disable(Mechanism mechanism) { Disabled.insert(mechanism); }
 
-  /// Runs an action at a time.
+  /// Schedules an action; a time in the past counts as now.
   void at(Instant time, std::function<void()> action);
   void runUntil(Instant end);
   Instant now() const { return Now; }
   Random &rng() { return Rng; }
 
-  // Faults, from now on.
+  // Faults; each takes effect at once.
   void cut(const std::string &from, const std::string &to, bool isCut);
   void pause(const std::string &node, bool isPaused);
   void setLogUnavailable(bool isUnavailable) {
@@ -107,14 +108,14 @@
     return Endpoints;
   }
   Standing standingOf(const std::string &endpoint) const;
-  /// Endpoints that their gates keep out of rotation at this moment.
+  /// Number of endpoints that are ejected now.
   int ejectedNow() const;
   int maxEjected() const { return MaxEjected; }
   int settingsRegressions() const { return SettingsRegressions; }
   bool settingsAgree() const;
   std::int64_t messages() const { return Messages; }
 
-  /// Events worth telling, one a line, in order.
+  /// Trace of events in order, one per line, as golden files hold it.
   const std::vector<std::string> &trace() const { return Trace; }
   void traceEvent(const std::string &line);
 
@@ -177,7 +178,7 @@
   bool isLinkUp(const std::string &a, const std::string &b) const;
 
   Random Rng;
-  /// Apart from the world's own, so that advice changes no session.
+  /// Separate from Rng, so that drawing Retry-After values changes no trace.
   Random RetryAfterRng{1};
   Instant Now{std::chrono::seconds(10)};
   std::multimap<Instant, std::function<void()>> Queue;
--- a/tests/world/worldattempt.h
+++ b/tests/world/worldattempt.h
@@ -7,22 +7,22 @@
 
 namespace hickoryglade::world {
 
-/// Qualified name of the one service.
+/// Qualified name of the only service.
 inline const std::string Service = "w/s";
 
-/// One try of a call, as its entry sees it.
+/// One attempt of a call, with the state that its entry keeps.
 struct World::Attempt {
   std::shared_ptr<Call> Request;
   std::string Id;
-  /// Gates at which a ticket or the request itself waits.
+  /// Gates that hold a ticket or the request itself.
   std::set<std::string> Gates;
-  /// The gate that has the body.
+  /// Gate that the request body is sent to; empty before a grant.
   std::string ChosenGate;
   bool AwaitsGrant = false;
   bool OnlyIfFree = false;
   bool IsSpill = false;
   bool IsSerialized = false;
-  /// Gates that the entry knows to be doubtful.
+  /// Target gates that have no healthy endpoint as far as the entry knows.
   std::set<std::string> DoubtfulGates;
   bool IsFinished = false;
   std::string Endpoint;
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-/// The world's entries: they choose gates, send calls, and settle what became
-/// of them.
+/// Simulated entries: they choose gates, send attempts and resolve their
+/// outcomes.
 
 namespace hickoryglade::world {
 
@@ -217,7 +217,9 @@
              error.Kind);
 }
 
-/// A silent link: the entry asks over a fresh one what became of its attempt.
+/// Resolves an attempt that is overdue. While the link is down, the entry
+/// avoids the gate; otherwise it sends a revoke, which either fences the
+/// attempt or returns its result.
 void World::resolveAttempt(const AttemptPtr &attempt) {
   const std::shared_ptr<Call> &call = attempt->Request;
   if (attempt->IsFinished || call->Outcome != CallOutcome::Pending)
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-/// The world's gates: what the kernel asks for is carried out at the endpoints.
+/// Simulated gates: they carry out the kernel's actions on the endpoints.
 
 namespace hickoryglade::world {
 
@@ -92,7 +92,8 @@
   }
 }
 
-/// Who hears news passes it on.
+/// Floods a crash record: every node that learns something new from it forwards
+/// it to all others.
 void World::floodCrash(const std::string &from, std::uint64_t fingerprint,
                        const CrashRecord &record) {
   for (const auto &[name, other] : Nodes)
