--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -31,7 +31,7 @@
   return std::ranges::find(words, word) != words.end();
 }
 
-/// The number after a word, or a default.
+/// Returns the number after a word, or the fallback.
 int numberAfter(const Words &words, const std::string &word, int fallback) {
   auto it = std::ranges::find(words, word);
   if (it == words.end() || it + 1 == words.end())
@@ -39,7 +39,7 @@
   return std::stoi(*(it + 1));
 }
 
-/// Reads a scenario line by line into a world.
+/// Interprets a scenario line by line and drives a simulated world.
 class Runner {
 public:
   explicit Runner(const Words &disabled) : Disabled(disabled) {}
@@ -89,7 +89,7 @@
       check(words);
     else
       throw std::invalid_argument("line " + std::to_string(LineNumber) +
-                                  ": unknown word " + first);
+                                  ": unknown statement " + first);
   }
 
   void addNode(const std::string &name) {
@@ -153,7 +153,7 @@
     ById[call.Id] = world().call(call);
   }
 
-  /// Poisson arrivals at random entries.
+  /// Starts Poisson arrivals at random entries.
   void load(const Words &words) {
     int rate = std::stoi(words.at(1));
     Instant end = world().now() + milliseconds(numberAfter(words, "for", 0));
@@ -193,22 +193,25 @@
     const std::string &first = words.at(1);
     if (first == "ejected")
       expect(w.maxEjected() <= std::stoi(words.back()),
-             "ejected at once: " + std::to_string(w.maxEjected()));
+             "endpoints ejected at the same time: " +
+                 std::to_string(w.maxEjected()));
     else if (first == "honest")
       checkOutcomes();
     else if (first == "crashes")
       checkCrashes(std::stoi(words.back()));
     else if (first == "left")
       for (const auto &[name, it] : w.endpoints())
-        expect(it.StartsAfterLeaving == 0, name + " got work after leaving");
+        expect(it.StartsAfterLeaving == 0,
+               name + " started requests after it left");
     else if (first == "settings") {
       expect(w.settingsAgree(), "settings differ between nodes");
-      expect(w.settingsRegressions() == 0, "settings went back");
+      expect(w.settingsRegressions() == 0,
+             "a node replaced settings by an older revision");
     } else if (first == "served")
       checkServed(std::stoi(words.back()));
     else if (words.at(2) == "told")
       expect(ById.at(first)->Outcome == Outcomes.at(words.at(3)),
-             first + " was told " +
+             first + " ended with outcome " +
                  std::to_string(int(ById.at(first)->Outcome)));
     else
       expect(toString(w.standingOf(words.at(2))) == first,
@@ -216,20 +219,21 @@
                  std::string(toString(w.standingOf(words.at(2)))));
   }
 
-  /// Each caller has one answer, in time; what it says of the run is true;
-  /// non-idempotent work has run once at the most.
+  /// Checks that each call ended at most 50 ms after its deadline, that calls
+  /// reported as not run did not run, and that non-idempotent calls ran at most
+  /// once.
   void checkOutcomes() {
     for (const auto &call : world().calls()) {
       if (call->Deadline + milliseconds(50) > world().now())
         continue;
       expect(call->Outcome != CallOutcome::Pending,
-             call->Id + " has no answer");
+             call->Id + " has no outcome");
       expect(call->Outcome != CallOutcome::NotRun || call->Runs == 0,
-             call->Id + " was told not_run but ran");
+             call->Id + " was reported as not_run but ran");
       expect(call->IsIdempotent || call->Runs <= 1,
              call->Id + " ran " + std::to_string(call->Runs) + " times");
       expect(call->End <= call->Deadline + milliseconds(50),
-             call->Id + " was answered late");
+             call->Id + " ended after its deadline");
     }
   }
 
--- a/tests/world/scenario.h
+++ b/tests/world/scenario.h
@@ -7,15 +7,15 @@
 
 namespace hickoryglade::world {
 
-/// Result of a scripted run.
+/// Result of a scenario run.
 struct ScenarioResult {
-  /// Expectations that did not hold, with their line numbers; empty if all
-  /// held.
+  /// Failed expectations with their line numbers.
   std::vector<std::string> Failures;
   std::vector<std::string> Trace;
 };
 
-/// Runs a scenario. Its lines, in the order of their times:
+/// Runs a scenario with the named mechanisms disabled. Actions (`at`) take
+/// place during the `run` lines that follow them. The lines are:
 ///   seed N | node A B .. | endpoint NAME on NODE [slots N]
 ///   policy KEY VALUE
 ///   at MS load RATE for MS work MS [long PERCENT] [post]
@@ -26,7 +26,6 @@
 ///   expect ejected at most N | STANDING E | ID told OUTCOME | honest
 ///   expect crashes at most N | left quiet | settings agree
 ///   expect served at least PERCENT
-/// Mechanisms named in disabled do not take part.
 ScenarioResult runScenario(const std::string &text,
                            const std::vector<std::string> &disabled);
 
