--- a/tests/scenarios/test_overload.cpp
+++ b/tests/scenarios/test_overload.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Share of requests by which a less urgent kind may be answered more often.
+/// Answered shares are compared by priority with this tolerance.
 constexpr double PriorityTolerance = 0.05;
 
-/// A refusal is prompt within the target latency divided by this.
+/// The median refusal takes at most the target latency divided by this.
 constexpr double PromptRefusalDivisor = 8;
 
 Overload makeOverload(double load) {
@@ -27,7 +27,8 @@
 
 } // namespace
 
-TEST_CASE("under overload no kind is served less often than a less urgent one",
+TEST_CASE("under overload no kind is answered less often than one of lower "
+          "priority",
           "[overload]") {
   for (double load : {1.2, 2.0, 4.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -38,10 +39,11 @@
     }
 }
 
-TEST_CASE("urgent work that fits into the slots is served under overload",
+TEST_CASE("urgent requests that fit into the slots meet their target under "
+          "overload",
           "[overload]") {
-  // The urgent kind offers 15% of the work: at twice the capacity that is less
-  // than a third of the slots.
+  // The urgent kind is 15% of the work, so that it needs less than a third of
+  // the slots at twice the capacity.
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
     std::vector<OverloadFigures> all = runOverload(makeOverload(2.0), seed);
@@ -49,9 +51,8 @@
   }
 }
 
-TEST_CASE(
-    "most refusals under overload come at once, all say when to come back",
-    "[overload]") {
+TEST_CASE("refusals under overload are prompt and carry a usable Retry-After",
+          "[overload]") {
   for (double load : {2.0, 4.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       INFO(loadName(load) << " seed " << seed);
@@ -67,7 +68,7 @@
     }
 }
 
-TEST_CASE("slots under overload go to requests that are answered",
+TEST_CASE("under overload few requests run without being answered",
           "[overload]") {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
--- a/tests/scenarios/test_scenarios.cpp
+++ b/tests/scenarios/test_scenarios.cpp
@@ -29,7 +29,7 @@
   return all;
 }
 
-/// Mechanisms in "# fails without: a b" lines.
+/// Mechanisms named in the line "# fails without: a b" of a scenario.
 std::vector<std::string> neededMechanisms(const std::string &text) {
   const std::string mark = "# fails without:";
   std::size_t at = text.find(mark);
@@ -47,7 +47,7 @@
   return all;
 }
 
-/// A scenario of random faults that a seed decides.
+/// Generates a scenario with random faults from a seed.
 std::string makeRandomScenario(std::uint64_t seed) {
   const char *kinds[] = {"cut", "pause", "stall", "leave", "log", "poison"};
   hickoryglade::Random rng(seed);
@@ -96,8 +96,8 @@
   return out.str();
 }
 
-/// Seeds that have failed with some earlier code; most by a poisoned request
-/// that crashed a third endpoint.
+/// Seeds that failed with earlier versions, most of them because a poison
+/// request crashed a third endpoint.
 constexpr std::uint64_t RegressionSeeds[] = {539,   4951,  11298, 13417,
                                              32865, 51871, 71478};
 
@@ -110,7 +110,7 @@
 
 } // namespace
 
-TEST_CASE("each scenario holds, and fails without its mechanism") {
+TEST_CASE("each scenario passes, and fails without the mechanisms it needs") {
   for (const fs::path &path : scenarios()) {
     INFO(path.filename());
     std::string text = readFile(path);
@@ -124,7 +124,7 @@
   }
 }
 
-TEST_CASE("sessions are the golden ones") {
+TEST_CASE("traces of scenarios match their golden files") {
   for (const fs::path &path : scenarios()) {
     fs::path golden = path;
     golden.replace_extension(".golden");
@@ -136,7 +136,7 @@
   }
 }
 
-TEST_CASE("random mixes of faults leave every promise kept") {
+TEST_CASE("random faults violate no guarantee") {
   int runs = 1'500;
   if (const char *text = std::getenv("MIX_RUNS"))
     runs = std::atoi(text);
