--- a/tests/bench/loadtool.cpp
+++ b/tests/bench/loadtool.cpp
@@ -16,9 +16,9 @@
 #include <thread>
 #include <unistd.h>
 
-/// Measures real processes on loopback: added latency against a direct call,
-/// control cost by size of the fleet, cost of nodes on a platform that get no
-/// requests.
+/// Measures real processes on loopback: latency added to a direct call, CPU
+/// cost of request logs, control-plane cost by fleet size, and CPU cost of idle
+/// nodes on a platform.
 ///   loadtool latency | logs | control NODES | idle NODES
 
 namespace {
@@ -44,7 +44,8 @@
   return values[std::size_t(q * double(values.size() - 1))];
 }
 
-/// Requests one after the other over one kept connection.
+/// Sends requests in sequence over one keep-alive connection and returns their
+/// latencies in milliseconds.
 std::vector<double> timeCalls(const std::string &address, int requests) {
   asio::io_context io;
   beast::tcp_stream stream(io);
@@ -68,7 +69,7 @@
   return times;
 }
 
-/// Processor time of a process in milliseconds, by the scheduler's own count.
+/// CPU time of a process in milliseconds, from the scheduler's statistics.
 double cpuMs(pid_t id) {
   double nanos = 0;
   std::filesystem::path tasks = "/proc/" + std::to_string(id) + "/task";
@@ -128,7 +129,8 @@
   return 0;
 }
 
-/// Processor time a request at a node that is entry and gate, in microseconds.
+/// CPU time per request, in microseconds, at a node that is both entry and
+/// gate.
 double cpuPerRequest(const std::string &logLevel) {
   TestFleet fleet;
   fleet.setLogLevel(logLevel);
@@ -144,7 +146,8 @@
   return (cpuMs(fleet.process("n1").id()) - before) * 1'000 / Requests;
 }
 
-/// Four lines a request with logs at info, none at error.
+/// Compares log level info, which writes four lines per request, with error,
+/// which writes none.
 int measureLogs() {
   constexpr int Rounds = 5;
   std::vector<double> with;
@@ -183,8 +186,8 @@
   return 0;
 }
 
-/// Announcements, questions for readiness and polls of the store go on, as they
-/// do on the platform.
+/// Heartbeats, readiness checks and polls of the store continue, as they do on
+/// the platform.
 int measureIdle(int nodes) {
   constexpr int BeatMs = 1'500;
   constexpr int Seconds = 20;
--- a/tests/bench/overloadtable.cpp
+++ b/tests/bench/overloadtable.cpp
@@ -3,8 +3,8 @@
 #include <cstdio>
 #include <cstdlib>
 
-/// Compares ways to place, order and refuse requests at an overload, on virtual
-/// time: the same arrivals from one seed for each way.
+/// Compares policies for placement, queue order and admission under overload on
+/// virtual time, with the same arrivals from one seed for each combination.
 ///   overloadtable [SEED]
 
 namespace {
--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 #include <string>
 
-/// Compares policies on virtual time: the same arrivals from one seed, one
-/// policy after the other, a table and JSON.
+/// Compares placement and admission policies on virtual time, with the same
+/// arrivals from one seed for each policy. Prints a table and JSON.
 ///   placement [SEED] [SECONDS]
 
 namespace {
@@ -29,7 +29,7 @@
   std::string Router = "tickets";
   std::string Admission = "deadline";
   int LongSlotsPercent = 34;
-  /// All endpoints behind one gate: the limit that placement can reach.
+  /// Puts all endpoints behind one gate: the upper bound for any placement.
   bool IsShared = false;
 };
 
@@ -88,12 +88,12 @@
   }
 
 private:
-  /// Mean slot time of a request, in milliseconds.
+  /// Mean run time of a request, in milliseconds.
   double meanWork() const {
     return ShortMs * (1 + Profile.LongPercent / 100.0 * (LongFactor - 1));
   }
 
-  /// Arrivals a microsecond; the crest lasts 20 s, rises within 2 s.
+  /// Arrivals per microsecond. The peak lasts 20 s and ramps up within 2 s.
   double rate() const {
     double capacity = Endpoints * Slots / meanWork() / 1'000;
     double load = Profile.Load;
