--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -64,7 +64,7 @@
   auto announceNow = std::make_shared<std::function<void()>>();
   *announceNow = [this, name, announceNow] {
     SimulatedEndpoint &it = Endpoints.at(name);
-    if (it.IsUp && it.Announces)
+    if (it.IsUp && it.IsAnnouncing)
       deliver(it.Node, [this, name] {
         SimulatedEndpoint &endpoint = Endpoints.at(name);
         Node &gateNode = Nodes.at(endpoint.Node);
@@ -112,7 +112,7 @@
 void World::leave(const std::string &endpoint) {
   SimulatedEndpoint &it = Endpoints.at(endpoint);
   it.LeftAt = Now;
-  it.Announces = uniform(Rng, 2) == 0;
+  it.IsAnnouncing = uniform(Rng, 2) == 0;
 }
 
 bool World::isLinkUp(const std::string &a, const std::string &b) const {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -65,7 +65,7 @@
   int Slots = 3;
   bool IsStalled = false;
   bool IsUp = true;
-  bool Announces = true;
+  bool IsAnnouncing = true;
   int Incarnation = 1;
   int Crashes = 0;
   Instant LeftAt = Instant::max();
