--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -82,7 +82,7 @@
 
   Figures run() {
     Sim.runUntil(Begin + seconds(1));
-    arrive();
+    scheduleArrivals();
     Sim.runUntil(End + seconds(8));
     return measure();
   }
@@ -106,12 +106,12 @@
     return load * capacity;
   }
 
-  void arrive() {
+  void scheduleArrivals() {
     if (Sim.now() >= End)
       return;
     std::exponential_distribution<double> gap(rate());
     Micros wait(1 + std::int64_t(gap(Sim.rng())));
-    Sim.at(Sim.now() + wait, [this] { arrive(); });
+    Sim.at(Sim.now() + wait, [this] { scheduleArrivals(); });
     Call call;
     call.Id = std::to_string(++Count);
     call.Entry = "n" + std::to_string(uniform(Sim.rng(), Endpoints));
--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -48,7 +48,7 @@
 
   std::vector<OverloadFigures> run() {
     Sim.runUntil(Begin);
-    arrive();
+    scheduleArrivals();
     Sim.runUntil(End + seconds(5));
     std::vector<OverloadFigures> all;
     std::ranges::transform(
@@ -58,7 +58,7 @@
   }
 
 private:
-  void arrive() {
+  void scheduleArrivals() {
     if (Sim.now() >= End)
       return;
     bool isPeak = Sim.now() >= PeakBegin && Sim.now() < PeakEnd;
@@ -66,7 +66,7 @@
     double perMicro = load * Nodes * Slots / MeanWorkMs / 1'000;
     std::exponential_distribution<double> gap(perMicro);
     Micros wait(1 + std::int64_t(gap(Sim.rng())));
-    Sim.at(Sim.now() + wait, [this] { arrive(); });
+    Sim.at(Sim.now() + wait, [this] { scheduleArrivals(); });
     Call call;
     const RequestKind &kind = pickKind();
     call.Id = std::to_string(++Count);
