--- a/tests/bench/loadtool.cpp
+++ b/tests/bench/loadtool.cpp
@@ -108,12 +108,12 @@
   double cpuBefore = cpuMs(fleet.process("n1").id());
   double gateBefore = cpuMs(fleet.process("n2").id());
   std::vector<double> direct = timeCalls(fleet.endpointAddress("e2"), Requests);
-  std::vector<double> hop = timeCalls(fleet.node("n1").Http, Requests);
+  std::vector<double> remote = timeCalls(fleet.node("n1").Http, Requests);
   double entryCpu = cpuMs(fleet.process("n1").id()) - cpuBefore;
   double gateCpu = cpuMs(fleet.process("n2").id()) - gateBefore;
   std::vector<double> local = timeCalls(fleet.node("n2").Http, Requests);
   printTimes("direct", direct);
-  printTimes("entry and gate apart", hop);
+  printTimes("entry and gate apart", remote);
   printTimes("entry and gate in one", local);
   std::printf("cpu per request: entry %.1f us, gate %.1f us\n",
               entryCpu * 1'000 / Requests, gateCpu * 1'000 / Requests);
