--- a/tests/bench/placement.cpp
+++ b/tests/bench/placement.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 #include <string>
 
-/// Compares policies on virtual time: the same arrivals from one seed, one
-/// policy after the other, a table and JSON.
+/// Compares placement and admission policies on virtual time, with the same
+/// arrivals from one seed for each policy. Prints a table and JSON.
 ///   placement [SEED] [SECONDS]
 
 namespace {
@@ -29,15 +29,15 @@
   std::string Router = "tickets";
   std::string Admission = "deadline";
   int LongSlotsPercent = 34;
-  /// All endpoints behind one gate: the limit that placement can reach.
+  /// Puts all endpoints behind one gate: the upper bound for any placement.
   bool IsShared = false;
 };
 
-struct Shape {
+struct LoadProfile {
   std::string Name;
   double Load = 0.7;
   int LongPercent = 2;
-  double CrestLoad = 0;
+  double PeakLoad = 0;
   int TimeoutMs = 2'000;
 };
 
@@ -62,66 +62,67 @@
 
 double msOf(Micros time) { return double(time.count()) / 1'000; }
 
-class Trial {
+class PlacementRun {
 public:
-  Trial(const Setup &setup, const Shape &shape, std::uint64_t seed, int lasting)
-      : Config(setup), Form(shape), It(seed), Begin(It.now()),
-        Warm(Begin + seconds(3)), End(Begin + seconds(3 + lasting)) {
+  PlacementRun(const Setup &setup, const LoadProfile &profile,
+               std::uint64_t seed, int lasting)
+      : Config(setup), Profile(profile), Sim(seed), Begin(Sim.now()),
+        WarmUpEnd(Begin + seconds(3)), End(Begin + seconds(3 + lasting)) {
     for (int i = 0; i < Endpoints; ++i)
-      It.addNode("n" + std::to_string(i));
+      Sim.addNode("n" + std::to_string(i));
     for (int i = 0; i < Endpoints; ++i)
-      It.addEndpoint("e" + std::to_string(i),
-                     "n" + std::to_string(setup.IsShared ? 0 : i), Slots);
+      Sim.addEndpoint("e" + std::to_string(i),
+                      "n" + std::to_string(setup.IsShared ? 0 : i), Slots);
     ServicePolicy policy;
     policy.Router = setup.Router;
     policy.Admission = setup.Admission;
     policy.LongSlotsPercent = setup.LongSlotsPercent;
-    It.setPolicy(policy);
+    Sim.setPolicy(policy);
   }
 
   Figures run() {
-    It.runUntil(Begin + seconds(1));
-    arrive();
-    It.runUntil(End + seconds(8));
+    Sim.runUntil(Begin + seconds(1));
+    scheduleArrivals();
+    Sim.runUntil(End + seconds(8));
     return measure();
   }
 
 private:
-  /// Mean slot time of a request, in milliseconds.
+  /// Mean run time of a request, in milliseconds.
   double meanWork() const {
-    return ShortMs * (1 + Form.LongPercent / 100.0 * (LongFactor - 1));
+    return ShortMs * (1 + Profile.LongPercent / 100.0 * (LongFactor - 1));
   }
 
-  /// Arrivals a microsecond; the crest lasts 20 s, rises within 2 s.
+  /// Arrivals per microsecond. The peak lasts 20 s and ramps up within 2 s.
   double rate() const {
     double capacity = Endpoints * Slots / meanWork() / 1'000;
-    double load = Form.Load;
-    Instant crest = Warm + seconds(5);
-    if (Form.CrestLoad > 0 && It.now() > crest &&
-        It.now() < crest + seconds(20)) {
-      double rise = std::min(1.0, msOf(It.now() - crest) / 2'000);
-      load += (Form.CrestLoad - load) * rise;
+    double load = Profile.Load;
+    Instant peakBegin = WarmUpEnd + seconds(5);
+    if (Profile.PeakLoad > 0 && Sim.now() > peakBegin &&
+        Sim.now() < peakBegin + seconds(20)) {
+      double rise = std::min(1.0, msOf(Sim.now() - peakBegin) / 2'000);
+      load += (Profile.PeakLoad - load) * rise;
     }
     return load * capacity;
   }
 
-  void arrive() {
-    if (It.now() >= End)
+  void scheduleArrivals() {
+    if (Sim.now() >= End)
       return;
     std::exponential_distribution<double> gap(rate());
-    Micros wait(1 + std::int64_t(gap(It.rng())));
-    It.at(It.now() + wait, [this] { arrive(); });
+    Micros wait(1 + std::int64_t(gap(Sim.rng())));
+    Sim.at(Sim.now() + wait, [this] { scheduleArrivals(); });
     Call call;
     call.Id = std::to_string(++Count);
-    call.Entry = "n" + std::to_string(uniform(It.rng(), Endpoints));
-    call.IsLong = int(uniform(It.rng(), 100)) < Form.LongPercent;
+    call.Entry = "n" + std::to_string(uniform(Sim.rng(), Endpoints));
+    call.IsLong = int(uniform(Sim.rng(), 100)) < Profile.LongPercent;
     call.Fingerprint = std::uint64_t(Count);
-    std::uint64_t spread = 50 + uniform(It.rng(), 101);
+    std::uint64_t spread = 50 + uniform(Sim.rng(), 101);
     call.Work =
         Micros(ShortMs * 10 * int(spread)) * (call.IsLong ? LongFactor : 1);
     call.Deadline =
-        It.now() + milliseconds(Form.TimeoutMs * (call.IsLong ? 5 : 1));
-    It.call(call);
+        Sim.now() + milliseconds(Profile.TimeoutMs * (call.IsLong ? 5 : 1));
+    Sim.call(call);
   }
 
   Figures measure() const {
@@ -130,10 +131,10 @@
     std::vector<double> refusals;
     double servedWork = 0;
     std::size_t counted = 0;
-    Instant from = Form.CrestLoad > 0 ? Warm + seconds(7) : Warm;
-    Instant to = Form.CrestLoad > 0 ? Warm + seconds(25) : End;
-    for (const auto &call : It.calls()) {
-      bool isAnswered = call->Outcome == Told::Answered;
+    Instant from = Profile.PeakLoad > 0 ? WarmUpEnd + seconds(7) : WarmUpEnd;
+    Instant to = Profile.PeakLoad > 0 ? WarmUpEnd + seconds(25) : End;
+    for (const auto &call : Sim.calls()) {
+      bool isAnswered = call->Outcome == CallOutcome::Answered;
       if (isAnswered && call->End >= from && call->End < to)
         servedWork += msOf(call->Work);
       if (call->Start < from || call->Start >= to)
@@ -155,14 +156,14 @@
             servedWork / slotTime,
             double(refusals.size()) / double(std::max<std::size_t>(counted, 1)),
             quantile(refusals, 0.99),
-            double(It.messages()) / double(std::max(Count, 1))};
+            double(Sim.messages()) / double(std::max(Count, 1))};
   }
 
   Setup Config;
-  Shape Form;
-  World It;
+  LoadProfile Profile;
+  World Sim;
   Instant Begin;
-  Instant Warm;
+  Instant WarmUpEnd;
   Instant End;
   int Count = 0;
 };
@@ -172,7 +173,7 @@
 int main(int argc, char **argv) {
   std::uint64_t seed = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1;
   int lasting = argc > 2 ? std::atoi(argv[2]) : 60;
-  const std::vector<Shape> shapes = {
+  const std::vector<LoadProfile> profiles = {
       {"70% no long", 0.7, 0, 0, 2'000},  {"70% 2% long", 0.7, 2, 0, 2'000},
       {"85% no long", 0.85, 0, 0, 2'000}, {"85% 2% long", 0.85, 2, 0, 2'000},
       {"crest x5", 0.6, 2, 3.0, 2'000},
@@ -188,15 +189,15 @@
   std::printf("%-12s %-21s %7s %7s %7s %9s %8s %8s %9s %8s\n", "load", "policy",
               "p50", "p99", "p99.9", "longstart", "goodput", "refused",
               "refusal99", "msg/req");
-  for (const Shape &shape : shapes)
+  for (const LoadProfile &profile : profiles)
     for (const Setup &setup : setups) {
-      Figures f = Trial(setup, shape, seed, lasting).run();
+      Figures f = PlacementRun(setup, profile, seed, lasting).run();
       std::printf(
           "%-12s %-21s %7.1f %7.1f %7.1f %9.2f %8.3f %8.3f %9.1f %8.2f\n",
-          shape.Name.c_str(), setup.Name.c_str(), f.P50, f.P99, f.P999,
+          profile.Name.c_str(), setup.Name.c_str(), f.P50, f.P99, f.P999,
           f.LongStart99, f.Goodput, f.Refused, f.RefusalMs99,
           f.MessagesPerRequest);
-      all.push_back({{"load", shape.Name},
+      all.push_back({{"load", profile.Name},
                      {"policy", setup.Name},
                      {"p50_ms", f.P50},
                      {"p99_ms", f.P99},
--- a/tests/scenarios/test_overload.cpp
+++ b/tests/scenarios/test_overload.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// Share of requests by which a less urgent kind may be answered more often.
-constexpr double OrderSlack = 0.05;
+/// Answered shares are compared by priority with this tolerance.
+constexpr double PriorityTolerance = 0.05;
 
-/// A refusal is prompt within the target latency divided by this.
-constexpr double PromptPart = 8;
+/// The median refusal takes at most the target latency divided by this.
+constexpr double PromptRefusalDivisor = 8;
 
-Overload overloadOf(double load) {
+Overload makeOverload(double load) {
   Overload overload;
-  overload.Kinds = usualKinds();
+  overload.Kinds = defaultKinds();
   overload.PeakLoad = load;
   overload.Policy.LongSlotsPercent = 100;
   return overload;
@@ -27,51 +27,52 @@
 
 } // namespace
 
-TEST_CASE("under overload no kind is served less often than a less urgent one",
+TEST_CASE("under overload no kind is answered less often than one of lower "
+          "priority",
           "[overload]") {
   for (double load : {1.2, 2.0, 4.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       INFO(loadName(load) << " seed " << seed);
-      std::vector<OverloadFigures> all = playOverload(overloadOf(load), seed);
+      std::vector<OverloadFigures> all = runOverload(makeOverload(load), seed);
       for (std::size_t i = 1; i < all.size(); ++i)
-        CHECK(all[i - 1].Answered >= all[i].Answered - OrderSlack);
+        CHECK(all[i - 1].Answered >= all[i].Answered - PriorityTolerance);
     }
 }
 
-TEST_CASE("urgent work that fits into the slots is served under overload",
+TEST_CASE("urgent requests that fit into the slots meet their target under "
+          "overload",
           "[overload]") {
-  // The urgent kind offers 15% of the work: at twice the capacity that is less
-  // than a third of the slots.
+  // The urgent kind is 15% of the work, so that it needs less than a third of
+  // the slots at twice the capacity.
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
-    std::vector<OverloadFigures> all = playOverload(overloadOf(2.0), seed);
+    std::vector<OverloadFigures> all = runOverload(makeOverload(2.0), seed);
     CHECK(all[0].InTarget >= 0.95);
   }
 }
 
-TEST_CASE(
-    "most refusals under overload come at once, all say when to come back",
-    "[overload]") {
+TEST_CASE("refusals under overload are prompt and carry a usable Retry-After",
+          "[overload]") {
   for (double load : {2.0, 4.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       INFO(loadName(load) << " seed " << seed);
-      std::vector<RequestKind> kinds = usualKinds();
-      std::vector<OverloadFigures> all = playOverload(overloadOf(load), seed);
+      std::vector<RequestKind> kinds = defaultKinds();
+      std::vector<OverloadFigures> all = runOverload(makeOverload(load), seed);
       for (std::size_t i = 0; i < all.size(); ++i) {
         INFO(all[i].Kind);
         if (all[i].Refused == 0)
           continue;
-        CHECK(all[i].RefusalMs50 <= kinds[i].TargetMs / PromptPart);
-        CHECK(all[i].UsefulAdvice == 1);
+        CHECK(all[i].RefusalMs50 <= kinds[i].TargetMs / PromptRefusalDivisor);
+        CHECK(all[i].UsefulRetryAfter == 1);
       }
     }
 }
 
-TEST_CASE("slots under overload go to requests that are answered",
+TEST_CASE("under overload few requests run without being answered",
           "[overload]") {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
-    for (const OverloadFigures &it : playOverload(overloadOf(4.0), seed))
+    for (const OverloadFigures &it : runOverload(makeOverload(4.0), seed))
       CHECK(it.Wasted <= 0.01);
   }
 }
--- a/tests/scenarios/test_scenarios.cpp
+++ b/tests/scenarios/test_scenarios.cpp
@@ -29,7 +29,7 @@
   return all;
 }
 
-/// Mechanisms in "# fails without: a b" lines.
+/// Mechanisms named in the line "# fails without: a b" of a scenario.
 std::vector<std::string> neededMechanisms(const std::string &text) {
   const std::string mark = "# fails without:";
   std::size_t at = text.find(mark);
@@ -47,8 +47,8 @@
   return all;
 }
 
-/// A scenario of random faults that a seed decides.
-std::string mixOf(std::uint64_t seed) {
+/// Generates a scenario with random faults from a seed.
+std::string makeRandomScenario(std::uint64_t seed) {
   const char *kinds[] = {"cut", "pause", "stall", "leave", "log", "poison"};
   hickoryglade::Random rng(seed);
   auto pick = [&](std::uint64_t n) {
@@ -96,21 +96,21 @@
   return out.str();
 }
 
-/// Seeds that have failed with some earlier code; most by a poisoned request
-/// that crashed a third endpoint.
-constexpr std::uint64_t FailedSeeds[] = {539,   4951,  11298, 13417,
-                                         32865, 51871, 71478};
+/// Seeds that failed with earlier versions, most of them because a poison
+/// request crashed a third endpoint.
+constexpr std::uint64_t RegressionSeeds[] = {539,   4951,  11298, 13417,
+                                             32865, 51871, 71478};
 
-void requireKept(std::uint64_t seed) {
-  std::string mix = mixOf(seed);
-  ScenarioResult result = runScenario(mix, {});
-  INFO("seed " << seed << "\n" << mix << joined(result.Failures));
+void requireHolds(std::uint64_t seed) {
+  std::string scenario = makeRandomScenario(seed);
+  ScenarioResult result = runScenario(scenario, {});
+  INFO("seed " << seed << "\n" << scenario << joined(result.Failures));
   REQUIRE(result.Failures.empty());
 }
 
 } // namespace
 
-TEST_CASE("each scenario holds, and fails without its mechanism") {
+TEST_CASE("each scenario passes, and fails without the mechanisms it needs") {
   for (const fs::path &path : scenarios()) {
     INFO(path.filename());
     std::string text = readFile(path);
@@ -124,19 +124,19 @@
   }
 }
 
-TEST_CASE("sessions are the golden ones") {
+TEST_CASE("traces of scenarios match their golden files") {
   for (const fs::path &path : scenarios()) {
     fs::path golden = path;
     golden.replace_extension(".golden");
-    std::string session = joined(runScenario(readFile(path), {}).Session);
+    std::string trace = joined(runScenario(readFile(path), {}).Trace);
     if (std::getenv("UPDATE_GOLDEN"))
-      std::ofstream(golden) << session;
+      std::ofstream(golden) << trace;
     INFO(path.filename());
-    CHECK(readFile(golden) == session);
+    CHECK(readFile(golden) == trace);
   }
 }
 
-TEST_CASE("random mixes of faults leave every promise kept") {
+TEST_CASE("random faults violate no guarantee") {
   int runs = 1'500;
   if (const char *text = std::getenv("MIX_RUNS"))
     runs = std::atoi(text);
@@ -144,7 +144,7 @@
   if (const char *text = std::getenv("MIX_SEED"))
     first = std::strtoull(text, nullptr, 10);
   for (std::uint64_t seed = first; seed < first + std::uint64_t(runs); ++seed)
-    requireKept(seed);
-  for (std::uint64_t seed : FailedSeeds)
-    requireKept(seed);
+    requireHolds(seed);
+  for (std::uint64_t seed : RegressionSeeds)
+    requireHolds(seed);
 }
--- a/tests/world/overload.cpp
+++ b/tests/world/overload.cpp
@@ -14,10 +14,10 @@
 
 constexpr int Nodes = 8;
 constexpr int Slots = 3;
-constexpr seconds Settling{1};
-constexpr seconds Warming{4};
-constexpr seconds Lasting{20};
-constexpr seconds Ending{5};
+constexpr seconds SettleTime{1};
+constexpr seconds WarmUpTime{4};
+constexpr seconds PeakTime{20};
+constexpr seconds CoolDownTime{5};
 
 double msOf(Micros time) { return double(time.count()) / 1'000; }
 
@@ -28,17 +28,18 @@
   return values[std::size_t(q * double(values.size() - 1))];
 }
 
-class Play {
+class OverloadRun {
 public:
-  Play(const Overload &overload, std::uint64_t seed)
-      : Form(overload), It(seed), Begin(It.now() + Settling),
-        Rise(Begin + Warming), Fall(Rise + Lasting), End(Fall + Ending) {
+  OverloadRun(const Overload &overload, std::uint64_t seed)
+      : Profile(overload), Sim(seed), Begin(Sim.now() + SettleTime),
+        PeakBegin(Begin + WarmUpTime), PeakEnd(PeakBegin + PeakTime),
+        End(PeakEnd + CoolDownTime) {
     for (int i = 0; i < Nodes; ++i) {
       std::string number = std::to_string(i);
-      It.addNode("n" + number);
-      It.addEndpoint("e" + number, "n" + number, Slots);
+      Sim.addNode("n" + number);
+      Sim.addEndpoint("e" + number, "n" + number, Slots);
     }
-    It.setPolicy(overload.Policy);
+    Sim.setPolicy(overload.Policy);
     for (const RequestKind &kind : overload.Kinds)
       TotalWeight += kind.Weight;
     for (const RequestKind &kind : overload.Kinds)
@@ -46,74 +47,74 @@
   }
 
   std::vector<OverloadFigures> run() {
-    It.runUntil(Begin);
-    arrive();
-    It.runUntil(End + seconds(5));
+    Sim.runUntil(Begin);
+    scheduleArrivals();
+    Sim.runUntil(End + seconds(5));
     std::vector<OverloadFigures> all;
     std::ranges::transform(
-        Form.Kinds, std::back_inserter(all),
+        Profile.Kinds, std::back_inserter(all),
         [this](const RequestKind &it) { return measure(it); });
     return all;
   }
 
 private:
-  void arrive() {
-    if (It.now() >= End)
+  void scheduleArrivals() {
+    if (Sim.now() >= End)
       return;
-    bool isPeak = It.now() >= Rise && It.now() < Fall;
-    double load = isPeak ? Form.PeakLoad : Form.Load;
+    bool isPeak = Sim.now() >= PeakBegin && Sim.now() < PeakEnd;
+    double load = isPeak ? Profile.PeakLoad : Profile.Load;
     double perMicro = load * Nodes * Slots / MeanWorkMs / 1'000;
     std::exponential_distribution<double> gap(perMicro);
-    Micros wait(1 + std::int64_t(gap(It.rng())));
-    It.at(It.now() + wait, [this] { arrive(); });
+    Micros wait(1 + std::int64_t(gap(Sim.rng())));
+    Sim.at(Sim.now() + wait, [this] { scheduleArrivals(); });
     Call call;
     const RequestKind &kind = pickKind();
     call.Id = std::to_string(++Count);
-    call.Entry = "n" + std::to_string(uniform(It.rng(), Nodes));
+    call.Entry = "n" + std::to_string(uniform(Sim.rng(), Nodes));
     call.Class = kind.Name;
     call.Priority = kind.Priority;
     call.Fingerprint = std::uint64_t(Count);
-    auto percent = std::int64_t(50 + uniform(It.rng(), 101));
+    auto percent = std::int64_t(50 + uniform(Sim.rng(), 101));
     call.Work = Micros(percent * kind.WorkMs * 10);
-    call.Deadline = It.now() + milliseconds(kind.TimeoutMs);
-    It.call(call);
+    call.Deadline = Sim.now() + milliseconds(kind.TimeoutMs);
+    Sim.call(call);
   }
 
   const RequestKind &pickKind() {
-    auto left = int(uniform(It.rng(), std::uint64_t(TotalWeight)));
-    for (const RequestKind &kind : Form.Kinds) {
+    auto left = int(uniform(Sim.rng(), std::uint64_t(TotalWeight)));
+    for (const RequestKind &kind : Profile.Kinds) {
       left -= kind.Weight;
       if (left < 0)
         return kind;
     }
-    return Form.Kinds.back();
+    return Profile.Kinds.back();
   }
 
   OverloadFigures measure(const RequestKind &kind) const {
     OverloadFigures out;
     out.Kind = kind.Name;
     std::vector<double> refusals;
-    for (const auto &call : It.calls()) {
-      bool isCounted =
-          call->Class == kind.Name && call->Start >= Rise && call->Start < Fall;
+    for (const auto &call : Sim.calls()) {
+      bool isCounted = call->Class == kind.Name && call->Start >= PeakBegin &&
+                       call->Start < PeakEnd;
       if (!isCounted)
         continue;
       ++out.Requests;
       Micros took = call->End - call->Start;
-      bool isAnswered = call->Outcome == Told::Answered;
+      bool isAnswered = call->Outcome == CallOutcome::Answered;
       out.Answered += isAnswered;
       out.InTarget += isAnswered && took <= milliseconds(kind.TargetMs);
       out.Wasted += !isAnswered && call->Runs > 0;
-      if (call->Outcome != Told::NotRun)
+      if (call->Outcome != CallOutcome::NotRun)
         continue;
       refusals.push_back(msOf(took));
       bool isEarly = call->RetryAfter > Millis(0) &&
                      call->RetryAfter < Millis(kind.TimeoutMs);
-      out.UsefulAdvice += isEarly;
+      out.UsefulRetryAfter += isEarly;
     }
     double n = std::max(out.Requests, 1);
     double refused = std::max<double>(double(refusals.size()), 1);
-    out.UsefulAdvice /= refused;
+    out.UsefulRetryAfter /= refused;
     out.Answered /= n;
     out.InTarget /= n;
     out.Wasted /= n;
@@ -123,11 +124,11 @@
     return out;
   }
 
-  const Overload &Form;
-  World It;
+  const Overload &Profile;
+  World Sim;
   Instant Begin;
-  Instant Rise;
-  Instant Fall;
+  Instant PeakBegin;
+  Instant PeakEnd;
   Instant End;
   int TotalWeight = 0;
   double MeanWorkMs = 0;
@@ -136,12 +137,12 @@
 
 } // namespace
 
-std::vector<OverloadFigures> playOverload(const Overload &overload,
-                                          std::uint64_t seed) {
-  return Play(overload, seed).run();
+std::vector<OverloadFigures> runOverload(const Overload &overload,
+                                         std::uint64_t seed) {
+  return OverloadRun(overload, seed).run();
 }
 
-std::vector<RequestKind> usualKinds() {
+std::vector<RequestKind> defaultKinds() {
   return {{"order", 0, 500, 1'200, 130, 2},
           {"charge", 1, 800, 2'000, 190, 5},
           {"view", 2, 800, 1'500, 250, 2}};
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -22,26 +22,27 @@
     {"quarantine", Mechanism::Quarantine},
     {"retry-rule", Mechanism::Retry}};
 
-const std::map<std::string, Told> Outcomes = {{"answered", Told::Answered},
-                                              {"not_run", Told::NotRun},
-                                              {"unknown", Told::Unknown}};
+const std::map<std::string, CallOutcome> Outcomes = {
+    {"answered", CallOutcome::Answered},
+    {"not_run", CallOutcome::NotRun},
+    {"unknown", CallOutcome::Unknown}};
 
 bool contains(const Words &words, const std::string &word) {
   return std::ranges::find(words, word) != words.end();
 }
 
-/// The number after a word, or a default.
-int numberAfter(const Words &words, const std::string &word, int otherwise) {
+/// Returns the number after a word, or the fallback.
+int numberAfter(const Words &words, const std::string &word, int fallback) {
   auto it = std::ranges::find(words, word);
   if (it == words.end() || it + 1 == words.end())
-    return otherwise;
+    return fallback;
   return std::stoi(*(it + 1));
 }
 
-/// Reads a scenario line by line into a world.
+/// Interprets a scenario line by line and drives a simulated world.
 class Runner {
 public:
-  explicit Runner(const Words &leftOut) : LeftOut(leftOut) {}
+  explicit Runner(const Words &disabled) : Disabled(disabled) {}
 
   ScenarioResult run(const std::string &text) {
     std::istringstream in(text);
@@ -52,23 +53,23 @@
       std::istringstream split(line);
       Words words{std::istream_iterator<std::string>(split), {}};
       if (!words.empty())
-        take(words);
+        runLine(words);
     }
-    return {Failures, It ? It->session() : Words{}};
+    return {Failures, Sim ? Sim->trace() : Words{}};
   }
 
 private:
   World &world() {
-    if (!It) {
-      It = std::make_unique<World>(Seed);
-      Begin = It->now();
-      for (const std::string &name : LeftOut)
-        It->leaveOut(Mechanisms.at(name));
+    if (!Sim) {
+      Sim = std::make_unique<World>(Seed);
+      Begin = Sim->now();
+      for (const std::string &name : Disabled)
+        Sim->disable(Mechanisms.at(name));
     }
-    return *It;
+    return *Sim;
   }
 
-  void take(const Words &words) {
+  void runLine(const Words &words) {
     const std::string &first = words[0];
     if (first == "seed")
       Seed = std::stoull(words.at(1));
@@ -88,7 +89,7 @@
       check(words);
     else
       throw std::invalid_argument("line " + std::to_string(LineNumber) +
-                                  ": unknown word " + first);
+                                  ": unknown statement " + first);
   }
 
   void addNode(const std::string &name) {
@@ -108,10 +109,10 @@
   void schedule(const Words &words) {
     Instant time = Begin + milliseconds(std::stoi(words.at(1)));
     Words action(words.begin() + 2, words.end());
-    world().at(time, [this, action] { act(action); });
+    world().at(time, [this, action] { perform(action); });
   }
 
-  void act(const Words &words) {
+  void perform(const Words &words) {
     World &w = world();
     const std::string &first = words[0];
     if (first == "load")
@@ -121,7 +122,7 @@
     std::string line;
     for (const std::string &it : words)
       line += (line.empty() ? "" : " ") + it;
-    w.note("-- " + line);
+    w.traceEvent("-- " + line);
     if (first == "cut" || first == "heal")
       w.cut(words.at(1), words.at(2), first == "cut");
     else if (first == "pause" || first == "resume")
@@ -131,7 +132,7 @@
     else if (first == "leave")
       w.leave(words.at(1));
     else if (first == "log")
-      w.setLog(words.at(1) == "away");
+      w.setLogUnavailable(words.at(1) == "away");
     else if (first == "publish")
       w.publish(words.at(2), {words.at(1), words.at(3), std::stoll(words.at(4)),
                               nlohmann::json::parse(words.at(5)), "", 0});
@@ -152,23 +153,24 @@
     ById[call.Id] = world().call(call);
   }
 
-  /// Poisson arrivals at random entries.
+  /// Starts Poisson arrivals at random entries.
   void load(const Words &words) {
     int rate = std::stoi(words.at(1));
     Instant end = world().now() + milliseconds(numberAfter(words, "for", 0));
     int longPercent = numberAfter(words, "long", 0);
     int work = numberAfter(words, "work", 25);
     bool isPost = contains(words, "post");
-    arrive(rate, end, longPercent, work, isPost);
+    scheduleArrivals(rate, end, longPercent, work, isPost);
   }
 
-  void arrive(int rate, Instant end, int longPercent, int work, bool isPost) {
+  void scheduleArrivals(int rate, Instant end, int longPercent, int work,
+                        bool isPost) {
     World &w = world();
     if (w.now() >= end)
       return;
     std::exponential_distribution<double> gap(rate / 1e6);
     w.at(w.now() + Micros(1 + std::int64_t(gap(w.rng()))),
-         [=, this] { arrive(rate, end, longPercent, work, isPost); });
+         [=, this] { scheduleArrivals(rate, end, longPercent, work, isPost); });
     Call call;
     call.Id = "load" + std::to_string(++NextLoad);
     call.Entry = NodeNames[uniform(w.rng(), NodeNames.size())];
@@ -190,23 +192,26 @@
     World &w = world();
     const std::string &first = words.at(1);
     if (first == "ejected")
-      expect(w.mostEjected() <= std::stoi(words.back()),
-             "ejected at once: " + std::to_string(w.mostEjected()));
+      expect(w.maxEjected() <= std::stoi(words.back()),
+             "endpoints ejected at the same time: " +
+                 std::to_string(w.maxEjected()));
     else if (first == "honest")
-      checkHonest();
+      checkOutcomes();
     else if (first == "crashes")
       checkCrashes(std::stoi(words.back()));
     else if (first == "left")
       for (const auto &[name, it] : w.endpoints())
-        expect(it.StartsAfterLeaving == 0, name + " got work after leaving");
+        expect(it.StartsAfterLeaving == 0,
+               name + " started requests after it left");
     else if (first == "settings") {
       expect(w.settingsAgree(), "settings differ between nodes");
-      expect(w.settingsWentBack() == 0, "settings went back");
+      expect(w.settingsRegressions() == 0,
+             "a node replaced settings by an older revision");
     } else if (first == "served")
       checkServed(std::stoi(words.back()));
     else if (words.at(2) == "told")
       expect(ById.at(first)->Outcome == Outcomes.at(words.at(3)),
-             first + " was told " +
+             first + " ended with outcome " +
                  std::to_string(int(ById.at(first)->Outcome)));
     else
       expect(toString(w.standingOf(words.at(2))) == first,
@@ -214,19 +219,21 @@
                  std::string(toString(w.standingOf(words.at(2)))));
   }
 
-  /// Each caller has one answer, in time; what it says of the run is true;
-  /// non-idempotent work has run once at the most.
-  void checkHonest() {
+  /// Checks that each call ended at most 50 ms after its deadline, that calls
+  /// reported as not run did not run, and that non-idempotent calls ran at most
+  /// once.
+  void checkOutcomes() {
     for (const auto &call : world().calls()) {
       if (call->Deadline + milliseconds(50) > world().now())
         continue;
-      expect(call->Outcome != Told::Nothing, call->Id + " has no answer");
-      expect(call->Outcome != Told::NotRun || call->Runs == 0,
-             call->Id + " was told not_run but ran");
+      expect(call->Outcome != CallOutcome::Pending,
+             call->Id + " has no outcome");
+      expect(call->Outcome != CallOutcome::NotRun || call->Runs == 0,
+             call->Id + " was reported as not_run but ran");
       expect(call->IsIdempotent || call->Runs <= 1,
              call->Id + " ran " + std::to_string(call->Runs) + " times");
       expect(call->End <= call->Deadline + milliseconds(50),
-             call->Id + " was answered late");
+             call->Id + " ended after its deadline");
     }
   }
 
@@ -244,18 +251,18 @@
       if (call->Deadline > world().now() || call->IsPoison)
         continue;
       ++all;
-      served += call->Outcome == Told::Answered;
-      if (call->Outcome != Told::Answered && std::getenv("SHOW_LOST"))
-        world().note("lost " + call->Id + " " +
-                     std::string(errorInfo(call->Kind).Name));
+      served += call->Outcome == CallOutcome::Answered;
+      if (call->Outcome != CallOutcome::Answered && std::getenv("SHOW_LOST"))
+        world().traceEvent("lost " + call->Id + " " +
+                           std::string(errorInfo(call->Kind).Name));
     }
     expect(all > 0 && served * 100 >= all * std::size_t(percent),
            "served " + std::to_string(served) + " of " + std::to_string(all));
   }
 
-  Words LeftOut;
+  Words Disabled;
   std::uint64_t Seed = 1;
-  std::unique_ptr<World> It;
+  std::unique_ptr<World> Sim;
   Instant Begin;
   ServicePolicy Policy;
   Words NodeNames;
@@ -269,8 +276,8 @@
 } // namespace
 
 ScenarioResult runScenario(const std::string &text,
-                           const std::vector<std::string> &leftOut) {
-  return Runner(leftOut).run(text);
+                           const std::vector<std::string> &disabled) {
+  return Runner(disabled).run(text);
 }
 
 } // namespace hickoryglade::world
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -13,7 +13,7 @@
 
 constexpr Micros NetDelay{500};
 constexpr Micros TickPeriod = milliseconds(50);
-constexpr Micros BeliefPeriod = milliseconds(100);
+constexpr Micros GossipPeriod = milliseconds(100);
 constexpr Micros AnnouncePeriod = seconds(1);
 constexpr Micros LogDelay = milliseconds(2);
 
@@ -21,7 +21,7 @@
 
 World::World(std::uint64_t seed) : Rng(seed) {
   Instant start = Now;
-  at(start, [this] { shareBeliefs(); });
+  at(start, [this] { gossipStandings(); });
 }
 
 void World::at(Instant time, std::function<void()> action) {
@@ -37,16 +37,16 @@
   Now = end;
 }
 
-void World::note(const std::string &line) {
+void World::traceEvent(const std::string &line) {
   auto ms = toMillis(Now.time_since_epoch()).count() - 10'000;
-  Session.push_back(std::to_string(ms) + "ms " + line);
+  Trace.push_back(std::to_string(ms) + "ms " + line);
 }
 
 void World::addNode(const std::string &name) {
   Node &node = Nodes[name];
   node.Name = name;
-  node.Door.Node = name;
-  node.Door.Rng.seed(Rng());
+  node.LocalGate.Node = name;
+  node.LocalGate.Rng.seed(Rng());
   node.Agent.Self = {name, 1};
   node.Agent.StartedAt = Now;
   at(Now, [this, name] { tickNode(name); });
@@ -60,21 +60,21 @@
   for (const auto &[endpoint, it] : Endpoints)
     gates.insert(it.Node);
   for (auto &[at, it] : Nodes)
-    it.Door.Services[Service].Gates = int(gates.size());
+    it.LocalGate.Services[Service].Gates = int(gates.size());
   auto announceNow = std::make_shared<std::function<void()>>();
   *announceNow = [this, name, announceNow] {
-    RealEndpoint &it = Endpoints.at(name);
-    if (it.IsUp && it.Announces)
+    SimulatedEndpoint &it = Endpoints.at(name);
+    if (it.IsUp && it.IsAnnouncing)
       deliver(it.Node, [this, name] {
-        RealEndpoint &endpoint = Endpoints.at(name);
-        Node &home = Nodes.at(endpoint.Node);
-        Announcement facts{name,
-                           Service,
-                           name,
-                           endpoint.Slots,
-                           std::to_string(endpoint.Incarnation),
-                           endpoint.LeftAt != Instant::max()};
-        carryOut(home, announce(home.Door, facts, Now));
+        SimulatedEndpoint &endpoint = Endpoints.at(name);
+        Node &gateNode = Nodes.at(endpoint.Node);
+        Announcement announcement{name,
+                                  Service,
+                                  name,
+                                  endpoint.Slots,
+                                  std::to_string(endpoint.Incarnation),
+                                  endpoint.LeftAt != Instant::max()};
+        carryOut(gateNode, announce(gateNode.LocalGate, announcement, Now));
       });
     at(Now + AnnouncePeriod, *announceNow);
   };
@@ -84,7 +84,7 @@
 void World::setPolicy(const ServicePolicy &policy) {
   Policy = policy;
   for (auto &[name, node] : Nodes)
-    node.Door.Services[Service].Policy = policy;
+    node.LocalGate.Services[Service].Policy = policy;
 }
 
 void World::cut(const std::string &from, const std::string &to, bool isCut) {
@@ -110,12 +110,12 @@
 }
 
 void World::leave(const std::string &endpoint) {
-  RealEndpoint &it = Endpoints.at(endpoint);
+  SimulatedEndpoint &it = Endpoints.at(endpoint);
   it.LeftAt = Now;
-  it.Announces = uniform(Rng, 2) == 0;
+  it.IsAnnouncing = uniform(Rng, 2) == 0;
 }
 
-bool World::isOpen(const std::string &a, const std::string &b) const {
+bool World::isLinkUp(const std::string &a, const std::string &b) const {
   return !Cuts.contains({a, b});
 }
 
@@ -130,7 +130,7 @@
 void World::send(const std::string &from, const std::string &to,
                  std::function<void()> action) {
   ++Messages;
-  if (!isOpen(from, to))
+  if (!isLinkUp(from, to))
     return;
   Micros delay = from == to ? Micros(10) : NetDelay;
   at(Now + delay, [this, to, it = std::move(action)] { deliver(to, it); });
@@ -141,14 +141,14 @@
   at(Now + TickPeriod, [this, name] { tickNode(name); });
   if (node.IsPaused)
     return;
-  carryOut(node, tick(node.Door, Now));
+  carryOut(node, tick(node.LocalGate, Now));
   readLog(node);
-  seekLeases(node);
-  MostEjected = std::max(MostEjected, ejectedNow());
+  updateLeases(node);
+  MaxEjected = std::max(MaxEjected, ejectedNow());
 }
 
 void World::readLog(Node &node) {
-  if (IsLogAway)
+  if (IsLogUnavailable)
     return;
   for (std::size_t i = std::size_t(node.Agent.Ledger.Next);
        i < LeaseLog.size() && LeaseLog[i].first <= Now; ++i)
@@ -159,12 +159,13 @@
     auto before = node.Settings.Tree.Nodes;
     foldRecord(node.Settings, std::int64_t(i), SettingsRecords[i].second);
     for (const auto &[path, old] : before)
-      WentBack += revisionOf(node.Settings.Tree, path) < old.Revision;
+      SettingsRegressions +=
+          revisionOf(node.Settings.Tree, path) < old.Revision;
   }
 }
 
 void World::append(const std::string &data, bool isSettings) {
-  if (IsLogAway)
+  if (IsLogUnavailable)
     return;
   auto &log = isSettings ? SettingsRecords : LeaseLog;
   Instant time = Now + LogDelay;
@@ -173,12 +174,12 @@
   log.emplace_back(time, data);
 }
 
-void World::seekLeases(Node &node) {
+void World::updateLeases(Node &node) {
   std::vector<LedgerMember> members;
   for (const auto &[name, other] : Nodes)
     members.push_back({{name, 1},
                        other.Agent.Ledger.Next,
-                       other.IsPaused || !isOpen(name, node.Name)});
+                       other.IsPaused || !isLinkUp(name, node.Name)});
   for (const LeaseRecord &it : dueRenewals(node.Agent, Now))
     append(encodeLease(it), false);
   for (const LeaseRecord &it : dueChallenges(node.Agent, members, Now))
@@ -187,52 +188,54 @@
     if (real.Node != node.Name)
       continue;
     LeaseSubject subject{LeaseKind::Ejection, Service, name};
-    bool isWanted = node.Ejecting.contains(name);
+    bool isWanted = node.WantedEjections.contains(name);
     bool isHeld = isHeldBy(node.Agent.Ledger, subject, node.Agent.Self);
     LeaseRecord record;
     record.Subject = subject;
     record.Holder = node.Agent.Self;
     record.Author = node.Name;
     record.Floor = Policy.Floor;
-    for (const auto &[other, belief] : node.Beliefs)
-      if (other != name && belief == Standing::Healthy)
+    for (const auto &[other, standing] : node.KnownStandings)
+      if (other != name && standing == Standing::Healthy)
         record.Healthy.push_back(other);
-    bool isAffordable = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
-    if (!has(Mechanism::Leases)) {
-      if (isWanted && isAffordable)
-        carryOut(node, setEjection(node.Door, name, Now + seconds(10), Now));
+    bool isAboveFloor = int(record.Healthy.size()) >= std::max(Policy.Floor, 1);
+    if (!isEnabled(Mechanism::Leases)) {
+      if (isWanted && isAboveFloor)
+        carryOut(node,
+                 setEjection(node.LocalGate, name, Now + seconds(10), Now));
       continue;
     }
-    if (isWanted && !isHeld && isAffordable &&
-        Now - node.AskedAt[name] > seconds(2)) {
-      node.AskedAt[name] = Now;
+    if (isWanted && !isHeld && isAboveFloor &&
+        Now - node.LeaseRequestedAt[name] > seconds(2)) {
+      node.LeaseRequestedAt[name] = Now;
       append(encodeLease(record), false);
     }
-    if (isHeld && (!isWanted || !isAffordable)) {
-      node.Ejecting.erase(name);
+    if (isHeld && (!isWanted || !isAboveFloor)) {
+      node.WantedEjections.erase(name);
       record.Action = LeaseAction::Release;
       append(encodeLease(record), false);
     }
     if (auto end = leaseEnd(node.Agent, subject); end && isWanted)
-      carryOut(node, setEjection(node.Door, name,
-                                 has(Mechanism::LeaseTerm)
+      carryOut(node, setEjection(node.LocalGate, name,
+                                 isEnabled(Mechanism::LeaseTerm)
                                      ? *end
                                      : Now + std::chrono::hours(1),
                                  Now));
   }
 }
 
-/// What gossip brings, at its usual pace.
-void World::shareBeliefs() {
-  at(Now + BeliefPeriod, [this] { shareBeliefs(); });
+/// Copies endpoint standings between connected nodes once a GossipPeriod, in
+/// place of gossip messages.
+void World::gossipStandings() {
+  at(Now + GossipPeriod, [this] { gossipStandings(); });
   for (auto &[to, node] : Nodes) {
     if (node.IsPaused)
       continue;
     for (const auto &[from, other] : Nodes) {
-      if (!isOpen(from, to) || other.IsPaused)
+      if (!isLinkUp(from, to) || other.IsPaused)
         continue;
-      for (const auto &[name, endpoint] : other.Door.Endpoints)
-        node.Beliefs[name] = endpoint.State;
+      for (const auto &[name, endpoint] : other.LocalGate.Endpoints)
+        node.KnownStandings[name] = endpoint.State;
     }
   }
 }
@@ -240,7 +243,7 @@
 int World::ejectedNow() const {
   int n = 0;
   for (const auto &[name, node] : Nodes)
-    for (const auto &[endpoint, it] : node.Door.Endpoints)
+    for (const auto &[endpoint, it] : node.LocalGate.Endpoints)
       n += it.EjectedUntil && Now < *it.EjectedUntil &&
            it.State == Standing::Ejected;
   return n;
@@ -248,9 +251,9 @@
 
 Standing World::standingOf(const std::string &endpoint) const {
   const Node &node = Nodes.at(Endpoints.at(endpoint).Node);
-  auto it = node.Door.Endpoints.find(endpoint);
-  return it == node.Door.Endpoints.end() ? Standing::Draining
-                                         : it->second.State;
+  auto it = node.LocalGate.Endpoints.find(endpoint);
+  return it == node.LocalGate.Endpoints.end() ? Standing::Draining
+                                              : it->second.State;
 }
 
 void World::publish(const std::string &, const SettingsChange &change) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -16,18 +16,18 @@
 
 namespace hickoryglade::world {
 
-/// Mechanisms that a run may leave out, to show what they are for.
+/// Mechanisms that a run can disable to show that a scenario needs them.
 enum class Mechanism { Leases, LeaseTerm, Fence, Quarantine, Retry };
 
-/// What a caller was told.
-enum class Told { Nothing, Answered, NotRun, Unknown };
+/// Outcome that a caller sees.
+enum class CallOutcome { Pending, Answered, NotRun, Unknown };
 
-/// A caller's request.
+/// A caller's request with its state and outcome.
 struct Call {
   std::string Id;
   std::string Entry;
   std::string Workspace = "w";
-  /// Names a kind of request whose costs are alike.
+  /// Cost class: requests of one class cost about the same.
   std::string Class;
   int Priority = 0;
   Instant Start;
@@ -39,15 +39,15 @@
   std::uint64_t Fingerprint = 0;
 
   int Attempts = 0;
-  /// Attempts that gates turned away at the price of one message.
-  int FreeTries = 0;
+  /// Refused attempts that cost a single message; FreeRetryLimit bounds them.
+  int FreeRetries = 0;
   std::set<std::string> Tried;
   bool MayHaveRun = false;
   bool WasSlotTaken = false;
   int Crashes = 0;
   int Runs = 0;
   Instant FirstRun;
-  Told Outcome = Told::Nothing;
+  CallOutcome Outcome = CallOutcome::Pending;
   ErrorKind Kind = ErrorKind::Internal;
   Millis RetryAfter{0};
   Instant End;
@@ -58,14 +58,14 @@
   }
 };
 
-/// An endpoint as it really is, not as anyone believes.
-struct RealEndpoint {
+/// Actual state of an endpoint, which nodes learn of with a delay.
+struct SimulatedEndpoint {
   std::string Name;
   std::string Node;
   int Slots = 3;
   bool IsStalled = false;
   bool IsUp = true;
-  bool Announces = true;
+  bool IsAnnouncing = true;
   int Incarnation = 1;
   int Crashes = 0;
   Instant LeftAt = Instant::max();
@@ -73,8 +73,9 @@
   std::map<std::string, std::string> Running;
 };
 
-/// Gates and entries of the kernel on virtual time, with endpoints, a log and
-/// a faultable network around them. One service, "w/s".
+/// Discrete-event simulation of a fleet with one service, "w/s". The kernel's
+/// gates and entries run on virtual time with simulated endpoints, a simulated
+/// log and a simulated network, all of which can fail.
 class World {
 public:
   explicit World(std::uint64_t seed);
@@ -82,18 +83,20 @@
   void addNode(const std::string &name);
   void addEndpoint(const std::string &name, const std::string &node, int slots);
   void setPolicy(const ServicePolicy &policy);
-  void leaveOut(Mechanism mechanism) { LeftOut.insert(mechanism); }
+  void disable(Mechanism mechanism) { Disabled.insert(mechanism); }
 
-  /// Runs an action at a time.
+  /// Schedules an action; a time in the past counts as now.
   void at(Instant time, std::function<void()> action);
   void runUntil(Instant end);
   Instant now() const { return Now; }
   Random &rng() { return Rng; }
 
-  // Faults, from now on.
+  // Faults; each takes effect at once.
   void cut(const std::string &from, const std::string &to, bool isCut);
   void pause(const std::string &node, bool isPaused);
-  void setLog(bool isAway) { IsLogAway = isAway; }
+  void setLogUnavailable(bool isUnavailable) {
+    IsLogUnavailable = isUnavailable;
+  }
   void stall(const std::string &endpoint, bool isStalled);
   void leave(const std::string &endpoint);
 
@@ -101,27 +104,27 @@
   void publish(const std::string &node, const SettingsChange &change);
 
   const std::vector<std::shared_ptr<Call>> &calls() const { return Calls; }
-  const std::map<std::string, RealEndpoint> &endpoints() const {
+  const std::map<std::string, SimulatedEndpoint> &endpoints() const {
     return Endpoints;
   }
   Standing standingOf(const std::string &endpoint) const;
-  /// Endpoints that their gates keep out of rotation at this moment.
+  /// Number of endpoints that are ejected now.
   int ejectedNow() const;
-  int mostEjected() const { return MostEjected; }
-  int settingsWentBack() const { return WentBack; }
+  int maxEjected() const { return MaxEjected; }
+  int settingsRegressions() const { return SettingsRegressions; }
   bool settingsAgree() const;
   std::int64_t messages() const { return Messages; }
 
-  /// Events worth telling, one a line, in order.
-  const std::vector<std::string> &session() const { return Session; }
-  void note(const std::string &line);
+  /// Trace of events in order, one per line, as golden files hold it.
+  const std::vector<std::string> &trace() const { return Trace; }
+  void traceEvent(const std::string &line);
 
 private:
   struct Attempt;
   using AttemptPtr = std::shared_ptr<Attempt>;
   struct Node {
     std::string Name;
-    Gate Door;
+    Gate LocalGate;
     LeaseAgent Agent;
     SettingsState Settings;
     RetryBudget Budget;
@@ -130,10 +133,10 @@
     std::map<std::string, Instant> LoadAt;
     std::map<std::string, int> Outstanding;
     std::map<std::string, Instant> DownUntil;
-    std::map<std::string, Standing> Beliefs;
-    std::map<std::string, AttemptPtr> Here;
-    std::set<std::string> Ejecting;
-    std::map<std::string, Instant> AskedAt;
+    std::map<std::string, Standing> KnownStandings;
+    std::map<std::string, AttemptPtr> AttemptsById;
+    std::set<std::string> WantedEjections;
+    std::map<std::string, Instant> LeaseRequestedAt;
     bool IsPaused = false;
     std::vector<std::function<void()>> Inbox;
   };
@@ -147,48 +150,50 @@
                  const std::string &endpoint);
   void endWork(Node &node, const AttemptPtr &attempt,
                const std::string &endpoint, AttemptOutcome outcome);
-  void crash(RealEndpoint &endpoint);
+  void crash(SimulatedEndpoint &endpoint);
 
   void tryOnce(const std::shared_ptr<Call> &call);
-  void offerAt(const AttemptPtr &attempt, const std::string &gate);
-  void claimAt(const AttemptPtr &attempt, const std::string &gate);
-  void withdrawFrom(const AttemptPtr &attempt, const std::string &gate);
-  void settle(const AttemptPtr &attempt, Told told, const Error &error);
-  void finish(const std::shared_ptr<Call> &call, Told told, ErrorKind kind);
-  void giveUp(const std::shared_ptr<Call> &call, const Error &error);
-  void watch(const AttemptPtr &attempt);
-  void refused(const AttemptPtr &attempt, const std::string &gate,
-               const Error &error);
+  void sendOffer(const AttemptPtr &attempt, const std::string &gate);
+  void sendClaim(const AttemptPtr &attempt, const std::string &gate);
+  void removeGate(const AttemptPtr &attempt, const std::string &gate);
+  void finishAttempt(const AttemptPtr &attempt, CallOutcome outcome,
+                     const Error &error);
+  void finishCall(const std::shared_ptr<Call> &call, CallOutcome outcome,
+                  ErrorKind kind);
+  void failCall(const std::shared_ptr<Call> &call, const Error &error);
+  void resolveAttempt(const AttemptPtr &attempt);
+  void handleRefusal(const AttemptPtr &attempt, const std::string &gate,
+                     const Error &error);
   Ticket ticketFor(const Attempt &attempt) const;
   std::vector<Candidate> candidates(Node &node, const Call &call);
-  void spreadCrash(const std::string &from, std::uint64_t fingerprint,
-                   const CrashRecord &record);
+  void floodCrash(const std::string &from, std::uint64_t fingerprint,
+                  const CrashRecord &record);
 
   void tickNode(const std::string &name);
   void readLog(Node &node);
   void append(const std::string &data, bool isSettings);
-  void seekLeases(Node &node);
-  void shareBeliefs();
-  bool has(Mechanism it) const { return !LeftOut.contains(it); }
-  bool isOpen(const std::string &a, const std::string &b) const;
+  void updateLeases(Node &node);
+  void gossipStandings();
+  bool isEnabled(Mechanism it) const { return !Disabled.contains(it); }
+  bool isLinkUp(const std::string &a, const std::string &b) const;
 
   Random Rng;
-  /// Apart from the world's own, so that advice changes no session.
-  Random AdviceRng{1};
+  /// Separate from Rng, so that drawing Retry-After values changes no trace.
+  Random RetryAfterRng{1};
   Instant Now{std::chrono::seconds(10)};
   std::multimap<Instant, std::function<void()>> Queue;
   std::map<std::string, Node> Nodes;
-  std::map<std::string, RealEndpoint> Endpoints;
+  std::map<std::string, SimulatedEndpoint> Endpoints;
   std::set<std::pair<std::string, std::string>> Cuts;
   std::vector<std::pair<Instant, std::string>> LeaseLog;
   std::vector<std::pair<Instant, std::string>> SettingsRecords;
   std::vector<std::shared_ptr<Call>> Calls;
-  std::set<Mechanism> LeftOut;
+  std::set<Mechanism> Disabled;
   ServicePolicy Policy;
-  std::vector<std::string> Session;
-  bool IsLogAway = false;
-  int MostEjected = 0;
-  int WentBack = 0;
+  std::vector<std::string> Trace;
+  bool IsLogUnavailable = false;
+  int MaxEjected = 0;
+  int SettingsRegressions = 0;
   std::int64_t Messages = 0;
 };
 
--- a/tests/world/worldentry.cpp
+++ b/tests/world/worldentry.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-/// The world's entries: they choose gates, send calls, and settle what became
-/// of them.
+/// Simulated entries: they choose gates, send attempts and resolve their
+/// outcomes.
 
 namespace hickoryglade::world {
 
@@ -16,8 +16,8 @@
 
 constexpr Micros SilenceLimit = milliseconds(700);
 constexpr Micros ResolvePeriod = milliseconds(100);
-constexpr Micros Grace = milliseconds(30);
-constexpr Micros LoadTerm = milliseconds(500);
+constexpr Micros DeadlineGrace = milliseconds(30);
+constexpr Micros LoadReportMaxAge = milliseconds(500);
 
 } // namespace
 
@@ -26,30 +26,31 @@
   for (const auto &[name, other] : Nodes) {
     Candidate it;
     it.Node = name;
-    bool isAny = false;
-    int best = 9;
+    bool hasEndpoint = false;
+    int bestRank = 9;
     for (const auto &[endpoint, real] : Endpoints) {
       if (real.Node != name)
         continue;
-      auto belief = node.Beliefs.find(endpoint);
-      if (belief == node.Beliefs.end() || belief->second == Standing::Draining)
+      auto known = node.KnownStandings.find(endpoint);
+      if (known == node.KnownStandings.end() ||
+          known->second == Standing::Draining)
         continue;
-      isAny = true;
+      hasEndpoint = true;
       it.Slots += real.Slots;
       constexpr int Ranks[] = {0, 2, 3, 1, 4};
-      int rank = Ranks[int(belief->second)];
-      if (rank < best) {
-        best = rank;
-        it.State = belief->second;
+      int rank = Ranks[int(known->second)];
+      if (rank < bestRank) {
+        bestRank = rank;
+        it.State = known->second;
       }
     }
-    if (!isAny)
+    if (!hasEndpoint)
       continue;
     it.IsLocal = name == node.Name;
     it.WasTried = call.Tried.contains(name);
     it.IsPathUp = Now >= node.DownUntil[name];
     it.Outstanding = node.Outstanding[name];
-    bool isFresh = Now - node.LoadAt[name] < LoadTerm;
+    bool isFresh = Now - node.LoadAt[name] < LoadReportMaxAge;
     it.FreeSlots = isFresh ? node.Loads[name].FreeSlots
                            : std::max(it.Slots - it.Outstanding, 0);
     it.Queued = isFresh ? node.Loads[name].Queued : 0;
@@ -64,42 +65,42 @@
   Calls.push_back(it);
   Node &node = Nodes.at(it->Entry);
   node.Budget.noteFresh(Policy.RetryBudgetPercent);
-  at(it->Deadline + Grace, [this, it] {
-    if (it->Outcome == Told::Nothing)
-      finish(it, Told::Unknown, ErrorKind::DeadlineExceeded);
+  at(it->Deadline + DeadlineGrace, [this, it] {
+    if (it->Outcome == CallOutcome::Pending)
+      finishCall(it, CallOutcome::Unknown, ErrorKind::DeadlineExceeded);
   });
   deliver(it->Entry, [this, it] { tryOnce(it); });
   return it;
 }
 
-void World::finish(const std::shared_ptr<Call> &call, Told told,
-                   ErrorKind kind) {
-  if (call->Outcome != Told::Nothing)
+void World::finishCall(const std::shared_ptr<Call> &call, CallOutcome outcome,
+                       ErrorKind kind) {
+  if (call->Outcome != CallOutcome::Pending)
     return;
-  call->Outcome = told;
+  call->Outcome = outcome;
   call->Kind = kind;
   call->End = Now;
 }
 
 void World::tryOnce(const std::shared_ptr<Call> &call) {
-  if (call->Outcome != Told::Nothing)
+  if (call->Outcome != CallOutcome::Pending)
     return;
   Node &node = Nodes.at(call->Entry);
   ++call->Attempts;
-  int known = has(Mechanism::Quarantine) ? call->Crashes : 0;
+  int known = isEnabled(Mechanism::Quarantine) ? call->Crashes : 0;
   QuarantineRule rule =
-      ruleFor(node.Door.Crashes, call->Fingerprint, Now, known);
+      ruleFor(node.LocalGate.Crashes, call->Fingerprint, Now, known);
   if (rule == QuarantineRule::Refused)
-    return giveUp(call, makeError(ErrorKind::Quarantined));
+    return failCall(call, makeError(ErrorKind::Quarantined));
   std::vector<Candidate> all = candidates(node, *call);
   const auto *router = Registry<RouterPolicy>::instance().find(Policy.Router);
   RoutePlan plan =
       router->Plan(all,
                    {call->IsLong, call->IsIdempotent, call->WasSlotTaken,
                     rule == QuarantineRule::Serialized, call->Fingerprint},
-                   node.Door.Rng);
+                   node.LocalGate.Rng);
   if (plan.Targets.empty())
-    return giveUp(call, makeError(ErrorKind::NoEndpoint));
+    return failCall(call, makeError(ErrorKind::NoEndpoint));
   auto attempt = std::make_shared<Attempt>();
   attempt->Request = call;
   attempt->Id = call->Id + "/" + std::to_string(call->Attempts);
@@ -110,15 +111,15 @@
   for (std::size_t i : plan.Targets) {
     attempt->Gates.insert(all[i].Node);
     if (all[i].State != Standing::Healthy)
-      attempt->Doubtful.insert(all[i].Node);
+      attempt->DoubtfulGates.insert(all[i].Node);
   }
   for (const std::string &gate : std::set<std::string>(attempt->Gates)) {
     ++node.Outstanding[gate];
     if (!plan.AwaitsGrant)
-      attempt->Chosen = gate;
-    offerAt(attempt, gate);
+      attempt->ChosenGate = gate;
+    sendOffer(attempt, gate);
   }
-  at(Now + SilenceLimit, [this, attempt] { watch(attempt); });
+  at(Now + SilenceLimit, [this, attempt] { resolveAttempt(attempt); });
 }
 
 Ticket World::ticketFor(const Attempt &attempt) const {
@@ -135,7 +136,7 @@
   ticket.IsIdempotent = call.IsIdempotent;
   ticket.Fingerprint = call.Fingerprint;
   ticket.Priority = call.Priority;
-  ticket.KnownCrashes = has(Mechanism::Quarantine) ? call.Crashes : 0;
+  ticket.KnownCrashes = isEnabled(Mechanism::Quarantine) ? call.Crashes : 0;
   ticket.AwaitsClaim = attempt.AwaitsGrant;
   ticket.OnlyIfFree = attempt.OnlyIfFree;
   ticket.IsSpill = attempt.IsSpill;
@@ -143,112 +144,119 @@
   return ticket;
 }
 
-void World::offerAt(const AttemptPtr &attempt, const std::string &gate) {
+void World::sendOffer(const AttemptPtr &attempt, const std::string &gate) {
   Ticket ticket = ticketFor(*attempt);
-  ticket.AcceptsDoubtful = attempt->Doubtful.contains(gate);
+  ticket.AcceptsDoubtful = attempt->DoubtfulGates.contains(gate);
   send(attempt->Request->Entry, gate, [this, attempt, gate, ticket] {
     Node &node = Nodes.at(gate);
-    node.Here[attempt->Id] = attempt;
-    carryOut(node, offer(node.Door, ticket, Now));
+    node.AttemptsById[attempt->Id] = attempt;
+    carryOut(node, offer(node.LocalGate, ticket, Now));
   });
 }
 
-void World::claimAt(const AttemptPtr &attempt, const std::string &gate) {
+void World::sendClaim(const AttemptPtr &attempt, const std::string &gate) {
   send(attempt->Request->Entry, gate, [this, attempt, gate] {
     Node &node = Nodes.at(gate);
-    carryOut(node, claim(node.Door, attempt->Id, Now));
+    carryOut(node, claim(node.LocalGate, attempt->Id, Now));
   });
 }
 
-void World::withdrawFrom(const AttemptPtr &attempt, const std::string &gate) {
+void World::removeGate(const AttemptPtr &attempt, const std::string &gate) {
   if (attempt->Gates.erase(gate) == 0)
     return;
   --Nodes.at(attempt->Request->Entry).Outstanding[gate];
 }
 
-void World::refused(const AttemptPtr &attempt, const std::string &gate,
-                    const Error &error) {
-  if (attempt->IsSettled)
+void World::handleRefusal(const AttemptPtr &attempt, const std::string &gate,
+                          const Error &error) {
+  if (attempt->IsFinished)
     return;
-  bool isChosen = attempt->Chosen == gate;
-  withdrawFrom(attempt, gate);
-  if (isChosen || (attempt->Chosen.empty() && attempt->Gates.empty()))
-    settle(attempt,
-           error.Run == RunState::NotRun ? Told::NotRun : Told::Unknown, error);
+  bool isChosen = attempt->ChosenGate == gate;
+  removeGate(attempt, gate);
+  if (isChosen || (attempt->ChosenGate.empty() && attempt->Gates.empty()))
+    finishAttempt(attempt,
+                  error.Run == RunState::NotRun ? CallOutcome::NotRun
+                                                : CallOutcome::Unknown,
+                  error);
 }
 
-void World::settle(const AttemptPtr &attempt, Told told, const Error &error) {
-  if (attempt->IsSettled)
+void World::finishAttempt(const AttemptPtr &attempt, CallOutcome outcome,
+                          const Error &error) {
+  if (attempt->IsFinished)
     return;
-  attempt->IsSettled = true;
+  attempt->IsFinished = true;
   for (const std::string &gate : std::set<std::string>(attempt->Gates))
-    withdrawFrom(attempt, gate);
+    removeGate(attempt, gate);
   const std::shared_ptr<Call> &call = attempt->Request;
-  if (told == Told::Answered)
-    return finish(call, told, ErrorKind::Internal);
-  if (error.Kind != ErrorKind::SlotTaken && !attempt->Chosen.empty())
-    call->Tried.insert(attempt->Chosen);
+  if (outcome == CallOutcome::Answered)
+    return finishCall(call, outcome, ErrorKind::Internal);
+  if (error.Kind != ErrorKind::SlotTaken && !attempt->ChosenGate.empty())
+    call->Tried.insert(attempt->ChosenGate);
   call->WasSlotTaken = call->WasSlotTaken || error.Kind == ErrorKind::SlotTaken;
   if (error.Kind == ErrorKind::ContentSuspect)
     call->Crashes = std::max(call->Crashes, 1);
   call->MayHaveRun = call->MayHaveRun || error.Run == RunState::Unknown;
-  bool isSafe = call->IsIdempotent || !has(Mechanism::Retry);
-  call->FreeTries += isFreeRetry(error.Kind);
-  RetryDecision answer =
-      decideRetry({error, isSafe, call->Attempts - call->FreeTries,
+  bool isSafe = call->IsIdempotent || !isEnabled(Mechanism::Retry);
+  call->FreeRetries += isFreeRetry(error.Kind);
+  RetryDecision decision =
+      decideRetry({error, isSafe, call->Attempts - call->FreeRetries,
                    call->Deadline - Now, Micros(0)},
                   Nodes.at(call->Entry).Budget);
-  if (answer.Verdict == RetryVerdict::Retry && call->FreeTries < FreeRetryLimit)
+  if (decision.Verdict == RetryVerdict::Retry &&
+      call->FreeRetries < FreeRetryLimit)
     return tryOnce(call);
-  giveUp(call, error);
+  failCall(call, error);
 }
 
-void World::giveUp(const std::shared_ptr<Call> &call, const Error &error) {
+void World::failCall(const std::shared_ptr<Call> &call, const Error &error) {
   bool isUnknown = finalError(error, call->MayHaveRun).Run == RunState::Unknown;
-  if (call->Outcome == Told::Nothing)
+  if (call->Outcome == CallOutcome::Pending)
     call->RetryAfter = suggestRetryAfter(
-        error.RetryAfter, toMillis(call->Deadline - Now), AdviceRng);
-  finish(call, isUnknown ? Told::Unknown : Told::NotRun, error.Kind);
+        error.RetryAfter, toMillis(call->Deadline - Now), RetryAfterRng);
+  finishCall(call, isUnknown ? CallOutcome::Unknown : CallOutcome::NotRun,
+             error.Kind);
 }
 
-/// A silent link: the entry asks over a fresh one what became of its attempt.
-void World::watch(const AttemptPtr &attempt) {
+/// Resolves an attempt that is overdue. While the link is down, the entry
+/// avoids the gate; otherwise it sends a revoke, which either fences the
+/// attempt or returns its result.
+void World::resolveAttempt(const AttemptPtr &attempt) {
   const std::shared_ptr<Call> &call = attempt->Request;
-  if (attempt->IsSettled || call->Outcome != Told::Nothing)
+  if (attempt->IsFinished || call->Outcome != CallOutcome::Pending)
     return;
   std::string entry = call->Entry;
-  std::string gate =
-      attempt->Chosen.empty() ? *attempt->Gates.begin() : attempt->Chosen;
-  bool isSilent = !isOpen(entry, gate) || !isOpen(gate, entry);
-  Node &own = Nodes.at(entry);
+  std::string gate = attempt->ChosenGate.empty() ? *attempt->Gates.begin()
+                                                 : attempt->ChosenGate;
+  bool isSilent = !isLinkUp(entry, gate) || !isLinkUp(gate, entry);
+  Node &entryNode = Nodes.at(entry);
   if (isSilent) {
-    own.DownUntil[gate] = Now + milliseconds(500);
-    if (!has(Mechanism::Fence))
-      return settle(attempt, Told::NotRun,
-                    {ErrorKind::GateLost, RunState::NotRun, {}, {}});
-    if (attempt->Chosen.empty()) {
-      withdrawFrom(attempt, gate);
+    entryNode.DownUntil[gate] = Now + milliseconds(500);
+    if (!isEnabled(Mechanism::Fence))
+      return finishAttempt(attempt, CallOutcome::NotRun,
+                           {ErrorKind::GateLost, RunState::NotRun, {}, {}});
+    if (attempt->ChosenGate.empty()) {
+      removeGate(attempt, gate);
       if (attempt->Gates.empty())
-        return settle(attempt, Told::NotRun,
-                      {ErrorKind::GateLost, RunState::NotRun, {}, {}});
+        return finishAttempt(attempt, CallOutcome::NotRun,
+                             {ErrorKind::GateLost, RunState::NotRun, {}, {}});
     }
-  } else if (!attempt->Chosen.empty()) {
+  } else if (!attempt->ChosenGate.empty()) {
     send(entry, gate, [this, attempt, gate, entry] {
-      Node &home = Nodes.at(gate);
+      Node &gateNode = Nodes.at(gate);
       GateActions actions;
-      StartState state =
-          revoke(home.Door, attempt->Id, Now + seconds(60), Now, actions);
-      carryOut(home, actions);
+      StartState state = revoke(gateNode.LocalGate, attempt->Id,
+                                Now + seconds(60), Now, actions);
+      carryOut(gateNode, actions);
       send(gate, entry, [this, attempt, state] {
         if (state == StartState::Fenced)
-          settle(attempt, Told::NotRun,
-                 {ErrorKind::GateLost, RunState::NotRun, {}, {}});
+          finishAttempt(attempt, CallOutcome::NotRun,
+                        {ErrorKind::GateLost, RunState::NotRun, {}, {}});
         if (state == StartState::Finished)
-          settle(attempt, attempt->Result, attempt->ResultError);
+          finishAttempt(attempt, attempt->Result, attempt->ResultError);
       });
     });
   }
-  at(Now + ResolvePeriod, [this, attempt] { watch(attempt); });
+  at(Now + ResolvePeriod, [this, attempt] { resolveAttempt(attempt); });
 }
 
 } // namespace hickoryglade::world
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-/// The world's gates: what the kernel asks for is carried out at the endpoints.
+/// Simulated gates: they carry out the kernel's actions on the endpoints.
 
 namespace hickoryglade::world {
 
@@ -24,8 +24,8 @@
 
 void World::carryOutOne(Node &node, const GateAction &action) {
   auto find = [&](const std::string &id) {
-    auto it = node.Here.find(id);
-    return it == node.Here.end() ? nullptr : it->second;
+    auto it = node.AttemptsById.find(id);
+    return it == node.AttemptsById.end() ? nullptr : it->second;
   };
   if (const auto *start = std::get_if<StartAction>(&action)) {
     if (AttemptPtr it = find(start->AttemptId))
@@ -35,36 +35,36 @@
     std::string gate = node.Name;
     if (it)
       send(gate, it->Request->Entry, [this, it, gate] {
-        bool isLate = it->IsSettled || !it->Chosen.empty();
+        bool isLate = it->IsFinished || !it->ChosenGate.empty();
         if (isLate) {
           send(it->Request->Entry, gate, [this, it, gate] {
-            Node &home = Nodes.at(gate);
-            carryOut(home, cancel(home.Door, it->Id, Now));
+            Node &gateNode = Nodes.at(gate);
+            carryOut(gateNode, cancel(gateNode.LocalGate, it->Id, Now));
           });
           return;
         }
-        it->Chosen = gate;
+        it->ChosenGate = gate;
         for (const std::string &other : std::set<std::string>(it->Gates))
           if (other != gate) {
-            withdrawFrom(it, other);
+            removeGate(it, other);
             send(it->Request->Entry, other, [this, it, other] {
-              Node &home = Nodes.at(other);
-              carryOut(home, cancel(home.Door, it->Id, Now));
+              Node &gateNode = Nodes.at(other);
+              carryOut(gateNode, cancel(gateNode.LocalGate, it->Id, Now));
             });
           }
-        claimAt(it, gate);
+        sendClaim(it, gate);
       });
   } else if (const auto *refusal = std::get_if<RefuseAction>(&action)) {
     AttemptPtr it = find(refusal->AttemptId);
     std::string gate = node.Name;
-    GateLoad load = loadOf(node.Door, Service, Now);
+    GateLoad load = loadOf(node.LocalGate, Service, Now);
     if (it)
       send(gate, it->Request->Entry,
            [this, it, gate, load, reason = refusal->Reason] {
              Node &entry = Nodes.at(it->Request->Entry);
              entry.Loads[gate] = load;
              entry.LoadAt[gate] = Now;
-             refused(it, gate, reason);
+             handleRefusal(it, gate, reason);
            });
   } else if (const auto *abort = std::get_if<AbortAction>(&action)) {
     if (AttemptPtr it = find(abort->AttemptId)) {
@@ -74,37 +74,39 @@
       endWork(node, it, it->Endpoint, outcome);
     }
   } else if (const auto *standing = std::get_if<StandingAction>(&action)) {
-    note(standing->Endpoint + " " + std::string(toString(standing->State)) +
-         ": " + standing->Reason);
+    traceEvent(standing->Endpoint + " " +
+               std::string(toString(standing->State)) + ": " +
+               standing->Reason);
   } else if (const auto *ejection = std::get_if<EjectionAction>(&action)) {
     if (ejection->IsWanted)
-      node.Ejecting.insert(ejection->Endpoint);
+      node.WantedEjections.insert(ejection->Endpoint);
     else
-      node.Ejecting.erase(ejection->Endpoint);
+      node.WantedEjections.erase(ejection->Endpoint);
   } else if (const auto *crashed = std::get_if<CrashAction>(&action)) {
-    if (!has(Mechanism::Quarantine)) {
-      node.Door.Crashes.Records.clear();
+    if (!isEnabled(Mechanism::Quarantine)) {
+      node.LocalGate.Crashes.Records.clear();
       return;
     }
-    spreadCrash(node.Name, crashed->Fingerprint,
-                node.Door.Crashes.Records[crashed->Fingerprint]);
+    floodCrash(node.Name, crashed->Fingerprint,
+               node.LocalGate.Crashes.Records[crashed->Fingerprint]);
   }
 }
 
-/// Who hears news passes it on.
-void World::spreadCrash(const std::string &from, std::uint64_t fingerprint,
-                        const CrashRecord &record) {
+/// Floods a crash record: every node that learns something new from it forwards
+/// it to all others.
+void World::floodCrash(const std::string &from, std::uint64_t fingerprint,
+                       const CrashRecord &record) {
   for (const auto &[name, other] : Nodes)
     if (name != from)
       send(from, name, [this, name, fingerprint, record] {
-        if (mergeCrash(Nodes.at(name).Door.Crashes, fingerprint, record))
-          spreadCrash(name, fingerprint, record);
+        if (mergeCrash(Nodes.at(name).LocalGate.Crashes, fingerprint, record))
+          floodCrash(name, fingerprint, record);
       });
 }
 
 void World::startWork(Node &node, const AttemptPtr &attempt,
                       const std::string &name) {
-  RealEndpoint &endpoint = Endpoints.at(name);
+  SimulatedEndpoint &endpoint = Endpoints.at(name);
   attempt->Endpoint = name;
   const std::shared_ptr<Call> &call = attempt->Request;
   if (!endpoint.IsUp)
@@ -121,35 +123,36 @@
   auto done = std::make_shared<std::function<void()>>();
   int incarnation = endpoint.Incarnation;
   *done = [this, attempt, name, incarnation, done] {
-    RealEndpoint &it = Endpoints.at(name);
+    SimulatedEndpoint &it = Endpoints.at(name);
     if (!it.Running.contains(attempt->Id) || it.Incarnation != incarnation)
       return;
     if (it.IsStalled)
       return at(Now + milliseconds(20), *done);
-    std::string home = it.Running.at(attempt->Id);
-    deliver(home, [this, attempt, name, home] {
-      endWork(Nodes.at(home), attempt, name, AttemptOutcome::Answered);
+    std::string nodeName = it.Running.at(attempt->Id);
+    deliver(nodeName, [this, attempt, name, nodeName] {
+      endWork(Nodes.at(nodeName), attempt, name, AttemptOutcome::Answered);
     });
   };
   at(Now + call->Work, *done);
 }
 
-void World::crash(RealEndpoint &endpoint) {
+void World::crash(SimulatedEndpoint &endpoint) {
   if (!endpoint.IsUp)
     return;
   endpoint.IsUp = false;
   ++endpoint.Crashes;
   ++endpoint.Incarnation;
-  note(endpoint.Name + " crashed");
+  traceEvent(endpoint.Name + " crashed");
   auto running = std::move(endpoint.Running);
   endpoint.Running.clear();
-  for (const auto &[id, home] : running)
-    deliver(home, [this, id = id, home = home, name = endpoint.Name] {
-      Node &node = Nodes.at(home);
-      auto it = node.Here.find(id);
-      if (it != node.Here.end())
-        endWork(node, it->second, name, AttemptOutcome::Crashed);
-    });
+  for (const auto &[id, nodeName] : running)
+    deliver(nodeName,
+            [this, id = id, nodeName = nodeName, name = endpoint.Name] {
+              Node &node = Nodes.at(nodeName);
+              auto it = node.AttemptsById.find(id);
+              if (it != node.AttemptsById.end())
+                endWork(node, it->second, name, AttemptOutcome::Crashed);
+            });
   at(Now + RestartTime,
      [this, name = endpoint.Name] { Endpoints.at(name).IsUp = true; });
 }
@@ -165,17 +168,17 @@
   bool isAnswer = outcome == AttemptOutcome::Answered;
   bool neverRan = outcome == AttemptOutcome::Unreachable &&
                   real != Endpoints.end() && !real->second.IsUp;
-  attempt->Result = isAnswer   ? Told::Answered
-                    : neverRan ? Told::NotRun
-                               : Told::Unknown;
+  attempt->Result = isAnswer   ? CallOutcome::Answered
+                    : neverRan ? CallOutcome::NotRun
+                               : CallOutcome::Unknown;
   attempt->ResultError = {outcome == AttemptOutcome::TimedOut
                               ? ErrorKind::DeadlineExceeded
                               : ErrorKind::EndpointFailed,
                           neverRan ? RunState::NotRun : RunState::Unknown,
                           {},
                           {}};
-  GateActions actions = complete(node.Door, attempt->Id, outcome, Now);
-  GateLoad load = loadOf(node.Door, Service, Now);
+  GateActions actions = complete(node.LocalGate, attempt->Id, outcome, Now);
+  GateLoad load = loadOf(node.LocalGate, Service, Now);
   Micros runTime = Now - attempt->Request->FirstRun;
   bool isCrash = outcome == AttemptOutcome::Crashed;
   std::string gate = node.Name;
@@ -187,7 +190,7 @@
          attempt->Request->Crashes += isCrash;
          if (isAnswer && attempt->Request->Runs == 1)
            entry.Costs.observe(attempt->Request->costClass(), runTime);
-         settle(attempt, attempt->Result, attempt->ResultError);
+         finishAttempt(attempt, attempt->Result, attempt->ResultError);
        });
   carryOut(node, actions);
 }
