--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -138,14 +138,14 @@
                               const std::string &target,
                               const std::string &body) {
   LastId = "attempt-" + std::to_string(++Attempts);
-  HttpQuestion question{method,
-                        target,
-                        {{"Host", "h.example"},
-                         {"Attempt-Id", LastId},
-                         {"Calling-Service", "forged"},
-                         {"Remaining-Milliseconds", "1500"}},
-                        body};
-  return callOnce(Nodes.at(node).Http, question, AskLimit);
+  HttpCall call{method,
+                target,
+                {{"Host", "h.example"},
+                 {"Attempt-Id", LastId},
+                 {"Calling-Service", "forged"},
+                 {"Remaining-Milliseconds", "1500"}},
+                body};
+  return callOnce(Nodes.at(node).Http, call, AskLimit);
 }
 
 int PlatformFleet::readiness(const std::string &node) {
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -188,9 +188,8 @@
   PlatformFleet fleet;
   startAll(fleet);
   auto beat = [&](const std::string &id, const std::string &body) {
-    HttpQuestion question{
-        "POST", "/rpc?call=instances.heartbeat&of=" + id, {}, body};
-    return callOnce(fleet.node("n1").Admin, question, CallLimit).Status;
+    HttpCall call{"POST", "/rpc?call=instances.heartbeat&of=" + id, {}, body};
+    return callOnce(fleet.node("n1").Admin, call, CallLimit).Status;
   };
   CHECK(beat("x", "") == 400);
   CHECK(beat("x", "[1,2]") == 400);
@@ -249,13 +248,13 @@
   constexpr int slots = 6;
   constexpr int waiting = 3;
   auto send = [&](int number) {
-    HttpQuestion question{"POST",
-                          "/once/x",
-                          {{"Host", "h.example"},
-                           {"Attempt-Id", "late-" + std::to_string(number)},
-                           {"Remaining-Milliseconds", "7000"}},
-                          ""};
-    return callOnce(fleet.node("n3").Http, question,
+    HttpCall call{"POST",
+                  "/once/x",
+                  {{"Host", "h.example"},
+                   {"Attempt-Id", "late-" + std::to_string(number)},
+                   {"Remaining-Milliseconds", "7000"}},
+                  ""};
+    return callOnce(fleet.node("n3").Http, call,
                     std::chrono::milliseconds(9'000));
   };
   std::vector<std::future<HttpReply>> replies;
--- a/tests/process/httpcall.cpp
+++ b/tests/process/httpcall.cpp
@@ -23,14 +23,14 @@
 }
 
 asio::awaitable<void> perform(beast::tcp_stream &stream, tcp::endpoint to,
-                              const HttpQuestion &question, HttpReply &reply) {
+                              const HttpCall &call, HttpReply &reply) {
   http::request<http::string_body> request;
-  request.method_string(question.Method);
-  request.target(question.Target);
+  request.method_string(call.Method);
+  request.target(call.Target);
   request.version(11);
-  for (const HttpHeader &it : question.Headers)
+  for (const HttpHeader &it : call.Headers)
     request.insert(it.Name, it.Value);
-  request.body() = question.Body;
+  request.body() = call.Body;
   request.prepare_payload();
   error_code ec;
   co_await stream.async_connect(to,
@@ -80,13 +80,13 @@
                                : body[key].dump();
 }
 
-HttpReply callOnce(const std::string &address, const HttpQuestion &question,
+HttpReply callOnce(const std::string &address, const HttpCall &call,
                    std::chrono::milliseconds limit) {
   asio::io_context io{1};
   beast::tcp_stream stream(io);
   stream.expires_after(limit);
   HttpReply reply;
-  asio::co_spawn(io, perform(stream, endpointOf(address), question, reply),
+  asio::co_spawn(io, perform(stream, endpointOf(address), call, reply),
                  asio::detached);
   io.run();
   return reply;
--- a/tests/process/httpcall.h
+++ b/tests/process/httpcall.h
@@ -21,7 +21,7 @@
   std::string problem(const std::string &key) const;
 };
 
-struct HttpQuestion {
+struct HttpCall {
   std::string Method = "GET";
   std::string Target = "/";
   std::vector<fleet::HttpHeader> Headers;
@@ -29,7 +29,7 @@
 };
 
 /// Makes one call on a connection of its own.
-HttpReply callOnce(const std::string &address, const HttpQuestion &question,
+HttpReply callOnce(const std::string &address, const HttpCall &call,
                    std::chrono::milliseconds limit);
 
 /// Sends bytes and gives what comes back within a time.
--- a/tests/process/test_path.cpp
+++ b/tests/process/test_path.cpp
@@ -46,9 +46,9 @@
       for (int i = 0; i < 15; ++i) {
         std::string body = bodyOf(caller, i);
         std::string id = std::to_string(caller * 100 + i);
-        HttpQuestion question{"PUT", "/x", {{"X-Client-Id", id}}, body};
+        HttpCall call{"PUT", "/x", {{"X-Client-Id", id}}, body};
         HttpReply reply =
-            fleet.call("n" + std::to_string(1 + i % 3), question, 20'000);
+            fleet.call("n" + std::to_string(1 + i % 3), call, 20'000);
         std::size_t line = reply.Body.find('\n');
         bool isOwn = reply.Status == 200 && reply.header("X-Echo-Id") == id &&
                      line != std::string::npos &&
--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -23,11 +23,11 @@
   fleet.awaitReady();
 }
 
-HttpQuestion keyed(const std::string &key, const std::string &tag,
-                   int workMs = 25) {
-  HttpQuestion question = taggedWork(tag, workMs);
-  question.Headers.push_back({"Idempotency-Key", key});
-  return question;
+HttpCall keyed(const std::string &key, const std::string &tag,
+               int workMs = 25) {
+  HttpCall call = taggedWork(tag, workMs);
+  call.Headers.push_back({"Idempotency-Key", key});
+  return call;
 }
 
 /// What the caller was told agrees with what was run.
@@ -180,7 +180,7 @@
     CHECK(it.Status == 200);
   CHECK(fleet.runsOf("key2") == 1);
 
-  HttpQuestion other = keyed("k1", "key1");
+  HttpCall other = keyed("k1", "key1");
   other.Body = "something else";
   CHECK(fleet.call("n2", other).problem("kind") == "key_reused");
 }
@@ -252,7 +252,7 @@
         HttpReply reply;
         for (int hop = 0; hop < 3 && reply.Status == 0; ++hop)
           reply = fleet.call("n" + std::to_string(1 + (caller + i + hop) % 3),
-                             i % 2 ? keyed(tag, tag) : HttpQuestion{}, 8'000);
+                             i % 2 ? keyed(tag, tag) : HttpCall{}, 8'000);
         ++(reply.Status == 200 ? served : lost);
         if (reply.Status != 200)
           lastLoss = std::to_string(reply.Status) + " " + reply.Body;
--- a/tests/process/testfleet.cpp
+++ b/tests/process/testfleet.cpp
@@ -139,12 +139,11 @@
   require(reply.Status == 200, "stand-in controlled");
 }
 
-HttpReply TestFleet::call(const std::string &node, HttpQuestion question,
+HttpReply TestFleet::call(const std::string &node, HttpCall call,
                           int timeoutMs) {
-  question.Headers.push_back({"Host", "s.example"});
-  question.Headers.push_back({"Request-Timeout-Ms", std::to_string(timeoutMs)});
-  return callOnce(Nodes.at(node).Http, question,
-                  milliseconds(timeoutMs + 2'000));
+  call.Headers.push_back({"Host", "s.example"});
+  call.Headers.push_back({"Request-Timeout-Ms", std::to_string(timeoutMs)});
+  return callOnce(Nodes.at(node).Http, call, milliseconds(timeoutMs + 2'000));
 }
 
 json TestFleet::status(const std::string &node) {
@@ -198,7 +197,7 @@
   }
 }
 
-HttpQuestion taggedWork(const std::string &tag, int workMs) {
+HttpCall taggedWork(const std::string &tag, int workMs) {
   return {"POST",
           "/work",
           {{"X-Run-Tag", tag}, {"X-Work-Ms", std::to_string(workMs)}},
--- a/tests/process/testfleet.h
+++ b/tests/process/testfleet.h
@@ -56,8 +56,7 @@
   void controlLog(const nlohmann::json &change);
   void controlRelay(const std::string &node, const nlohmann::json &change);
 
-  HttpReply call(const std::string &node, HttpQuestion question,
-                 int timeoutMs = 5'000);
+  HttpReply call(const std::string &node, HttpCall call, int timeoutMs = 5'000);
   nlohmann::json status(const std::string &node);
   nlohmann::json settings(const std::string &node, const std::string &path);
 
@@ -84,6 +83,6 @@
 };
 
 /// A POST of non-idempotent work that is counted under a tag.
-HttpQuestion taggedWork(const std::string &tag, int workMs = 25);
+HttpCall taggedWork(const std::string &tag, int workMs = 25);
 
 } // namespace hickoryglade::testing
