--- a/tests/platform/serverstandin.cpp
+++ b/tests/platform/serverstandin.cpp
@@ -33,18 +33,18 @@
   explicit Server(Identity identity) : Self(std::move(identity)) {}
 
   asio::awaitable<bool> handle(HttpRequest request,
-                               std::shared_ptr<Wire> wire) {
+                               std::shared_ptr<RawConnection> connection) {
     if (request.Target == "/_control")
-      co_return co_await control(request, wire);
+      co_return co_await control(request, connection);
     std::string id = headerValue(request.Headers, "Attempt-Id");
     std::string expected = headerValue(request.Headers, "Expected-Instance");
     std::string echo = "Attempt-Id: " + id + "\r\n";
     if (expected != Self.Id)
-      co_return co_await reply(wire, answerBytes(421, "", echo));
+      co_return co_await reply(connection, answerBytes(421, "", echo));
     ++Arrivals;
     if (Fault == "shed")
       co_return co_await reply(
-          wire, answerBytes(503, "", echo + "Not-Executed: 1\r\n"));
+          connection, answerBytes(503, "", echo + "Not-Executed: 1\r\n"));
     ++Runs[id];
     Last = {{"caller", headerValue(request.Headers, "Calling-Service")},
             {"left", headerValue(request.Headers, "Remaining-Milliseconds")},
@@ -57,20 +57,20 @@
       co_return false;
     }
     if (Fault == "error")
-      co_return co_await reply(wire, answerBytes(500, "", echo + Proof));
+      co_return co_await reply(connection, answerBytes(500, "", echo + Proof));
     if (Fault == "stray") {
       std::string stray = "Attempt-Id: earlier\r\n" + Proof;
-      co_await wire->write(answerBytes(200, "another's answer", stray));
+      co_await connection->write(answerBytes(200, "another's answer", stray));
     }
     std::string body = Self.Id + ":" + *request.Content;
     if (Fault == "unframed") {
-      co_await wire->write("HTTP/1.1 200 OK\r\n" + echo + Proof +
-                           "Connection: close\r\n\r\n" + body);
+      co_await connection->write("HTTP/1.1 200 OK\r\n" + echo + Proof +
+                                 "Connection: close\r\n\r\n" + body);
       co_return false;
     }
     if (Fault == "unsigned")
-      co_return co_await reply(wire, answerBytes(200, body, echo));
-    co_return co_await reply(wire, answerBytes(200, body, echo + Proof));
+      co_return co_await reply(connection, answerBytes(200, body, echo));
+    co_return co_await reply(connection, answerBytes(200, body, echo + Proof));
   }
 
   asio::awaitable<void> beatForever() {
@@ -101,13 +101,14 @@
       Acked = sent;
   }
 
-  asio::awaitable<bool> reply(std::shared_ptr<Wire> wire, std::string bytes) {
-    co_await wire->write(std::move(bytes));
+  asio::awaitable<bool> reply(std::shared_ptr<RawConnection> connection,
+                              std::string bytes) {
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
   asio::awaitable<bool> control(const HttpRequest &request,
-                                std::shared_ptr<Wire> wire) {
+                                std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
       Fault = in.value("fault", Fault);
@@ -126,7 +127,7 @@
                 {"arrivals", Arrivals},
                 {"acked", Acked},
                 {"last", Last}};
-    co_return co_await reply(wire, answerBytes(200, out.dump()));
+    co_return co_await reply(connection, answerBytes(200, out.dump()));
   }
 
   const std::string Proof = "Response-Signature: proof\r\n";
@@ -157,12 +158,12 @@
   identity.BeatPeriod = Millis(std::stoi(option("beat-ms", "200")));
   fleet::asio::io_context io{1};
   auto server = std::make_shared<standins::Server>(identity);
-  standins::serveHttp(io, identity.Listen,
-                      [server](fleet::HttpRequest request,
-                               std::shared_ptr<standins::Wire> wire) {
-                        return server->handle(std::move(request),
-                                              std::move(wire));
-                      });
+  standins::serveHttp(
+      io, identity.Listen,
+      [server](fleet::HttpRequest request,
+               std::shared_ptr<standins::RawConnection> connection) {
+        return server->handle(std::move(request), std::move(connection));
+      });
   fleet::asio::co_spawn(io, server->beatForever(), fleet::asio::detached);
   io.run();
   return 0;
--- a/tests/platform/storestandin.cpp
+++ b/tests/platform/storestandin.cpp
@@ -45,29 +45,31 @@
 class Store {
 public:
   asio::awaitable<bool> handle(HttpRequest request,
-                               std::shared_ptr<Wire> wire) {
+                               std::shared_ptr<RawConnection> connection) {
     if (request.Target == "/_control")
-      co_return co_await control(request, wire);
+      co_return co_await control(request, connection);
     if (request.Target == "/_operator") {
       append("keyed.op", platform::encodeRecord({"config", *request.Content}));
-      co_return co_await reply(wire, answerBytes(200, "{}"));
+      co_return co_await reply(connection, answerBytes(200, "{}"));
     }
     ++Calls;
     if (Mode == "silent")
-      while (Mode == "silent" && !wire->isGone())
+      while (Mode == "silent" && !connection->isGone())
         co_await sleepFor(WaitStep);
     if (Mode == "busy")
-      co_return co_await reply(wire, answerBytes(503, "{}"));
-    co_return co_await serve(request, wire);
+      co_return co_await reply(connection, answerBytes(503, "{}"));
+    co_return co_await serve(request, connection);
   }
 
 private:
-  asio::awaitable<bool> reply(std::shared_ptr<Wire> wire, std::string bytes) {
-    co_await wire->write(std::move(bytes));
+  asio::awaitable<bool> reply(std::shared_ptr<RawConnection> connection,
+                              std::string bytes) {
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
-  asio::awaitable<bool> serve(HttpRequest request, std::shared_ptr<Wire> wire) {
+  asio::awaitable<bool> serve(HttpRequest request,
+                              std::shared_ptr<RawConnection> connection) {
     const std::string &target = request.Target;
     std::string topic = queryValue(target, "topic");
     if (target.starts_with("/log-append")) {
@@ -76,13 +78,13 @@
         --LostAnswers;
         co_return false;
       }
-      co_return co_await reply(wire, answerBytes(200, endOf(topic)));
+      co_return co_await reply(connection, answerBytes(200, endOf(topic)));
     }
     if (target.starts_with("/log-newest"))
-      co_return co_await reply(wire, answerBytes(200, newest(topic)));
+      co_return co_await reply(connection, answerBytes(200, newest(topic)));
     if (target.starts_with("/log-read"))
-      co_return co_await read(target, topic, wire);
-    co_return co_await reply(wire, answerBytes(404, "{}"));
+      co_return co_await read(target, topic, connection);
+    co_return co_await reply(connection, answerBytes(404, "{}"));
   }
 
   std::string endOf(const std::string &topic) {
@@ -127,31 +129,31 @@
   }
 
   asio::awaitable<bool> read(const std::string &target, std::string name,
-                             std::shared_ptr<Wire> wire) {
+                             std::shared_ptr<RawConnection> connection) {
     auto from = std::size_t(std::stoll(queryValue(target, "start_key")));
     int wait = std::stoi(queryValue(target, "wait_ms"));
-    for (int ms = 0;
-         ms < wait && Topics[name].Records.size() <= from && !wire->isGone();
+    for (int ms = 0; ms < wait && Topics[name].Records.size() <= from &&
+                     !connection->isGone();
          ms += int(WaitStep.count()))
       co_await sleepFor(WaitStep);
     if (from < First)
-      co_return co_await reply(wire, expired());
+      co_return co_await reply(connection, expired());
     const auto &records = Topics[name].Records;
     std::string body = bigEndian(records.size(), 8) + bigEndian(First, 8);
     for (std::size_t i = from; i < records.size(); ++i)
       body += records[i];
-    co_return co_await reply(wire, answerBytes(200, body));
+    co_return co_await reply(connection, answerBytes(200, body));
   }
 
   asio::awaitable<bool> control(const HttpRequest &request,
-                                std::shared_ptr<Wire> wire) {
+                                std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
       Mode = in.value("mode", Mode);
       LostAnswers = in.value("lost_answers", LostAnswers);
       First = in.value("first", First);
     }
-    co_return co_await reply(wire, counters());
+    co_return co_await reply(connection, counters());
   }
 
   std::map<std::string, Topic> Topics;
@@ -172,12 +174,12 @@
       standins::optionValue(argc, argv, "listen", "127.0.0.1:7300");
   fleet::asio::io_context io{1};
   auto store = std::make_shared<standins::Store>();
-  standins::serveHttp(io, listen,
-                      [store](fleet::HttpRequest request,
-                              std::shared_ptr<standins::Wire> wire) {
-                        return store->handle(std::move(request),
-                                             std::move(wire));
-                      });
+  standins::serveHttp(
+      io, listen,
+      [store](fleet::HttpRequest request,
+              std::shared_ptr<standins::RawConnection> connection) {
+        return store->handle(std::move(request), std::move(connection));
+      });
   io.run();
   return 0;
 }
--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -62,21 +62,21 @@
   explicit Endpoint(Identity identity) : Self(std::move(identity)) {}
 
   asio::awaitable<bool> handle(HttpRequest request,
-                               std::shared_ptr<Wire> wire) {
+                               std::shared_ptr<RawConnection> connection) {
     if (request.Target == "/_control")
-      co_return co_await control(request, wire);
-    if (std::ranges::find(Silent, wire) != Silent.end()) {
+      co_return co_await control(request, connection);
+    if (std::ranges::find(Silent, connection) != Silent.end()) {
       while (true)
         co_await sleepFor(std::chrono::seconds(1));
     }
-    noteWire(wire);
+    trackConnection(connection);
     if (request.Target == "/healthz") {
       co_await sleepFor(Millis(Self.WorkMs));
       std::string bytes = answerBytes(200, "ok");
-      co_await wire->write(std::move(bytes));
+      co_await connection->write(std::move(bytes));
       co_return true;
     }
-    co_return co_await work(std::move(request), std::move(wire));
+    co_return co_await work(std::move(request), std::move(connection));
   }
 
   asio::awaitable<void> announceForever() {
@@ -113,9 +113,9 @@
         .dump();
   }
 
-  void noteWire(const std::shared_ptr<Wire> &wire) {
-    if (std::ranges::find(Open, wire) == Open.end())
-      Open.push_back(wire);
+  void trackConnection(const std::shared_ptr<RawConnection> &connection) {
+    if (std::ranges::find(Open, connection) == Open.end())
+      Open.push_back(connection);
   }
 
   bool isStalled() const {
@@ -132,11 +132,12 @@
     return text.empty() ? otherwise : std::atoi(text.c_str());
   }
 
-  asio::awaitable<bool> work(HttpRequest request, std::shared_ptr<Wire> wire) {
+  asio::awaitable<bool> work(HttpRequest request,
+                             std::shared_ptr<RawConnection> connection) {
     if (Now.Shed || Running >= Self.Slots) {
       Overruns += Running >= Self.Slots;
       std::string bytes = answerBytes(503, "", "Endpoint-Shed: not-run\r\n");
-      co_await wire->write(std::move(bytes));
+      co_await connection->write(std::move(bytes));
       co_return true;
     }
     ++Running;
@@ -152,18 +153,18 @@
       ++Cold;
       end += Millis(Now.ColdMs);
     }
-    while ((now() < end || isStalled()) && !wire->isGone())
+    while ((now() < end || isStalled()) && !connection->isGone())
       co_await sleepFor(std::clamp(toMillis(end - now()), Step, Millis(20)));
     --Running;
-    if (wire->isGone())
+    if (connection->isGone())
       co_return false;
     if (Now.LateMs > 0)
       co_await sleepFor(Millis(Now.LateMs));
-    co_return co_await answer(request, wire);
+    co_return co_await answer(request, connection);
   }
 
   asio::awaitable<bool> answer(const HttpRequest &request,
-                               std::shared_ptr<Wire> wire) {
+                               std::shared_ptr<RawConnection> connection) {
     std::string body = "endpoint=" + Self.Name + "\n" + *request.Content;
     int load = Now.LieLoad ? 0 : Running;
     std::string bytes =
@@ -173,14 +174,15 @@
                         headerValue(request.Headers, "X-Client-Id") + "\r\n" +
                         idLine(request));
     if (Now.Truncate) {
-      co_await wire->write(bytes.substr(0, bytes.size() - body.size() / 2 - 1));
+      co_await connection->write(
+          bytes.substr(0, bytes.size() - body.size() / 2 - 1));
       co_return false;
     }
     if (Now.SecondCopyMs > 0)
       asio::co_spawn(co_await asio::this_coro::executor,
-                     sendAgain(wire, bytes, Millis(Now.SecondCopyMs)),
+                     sendAgain(connection, bytes, Millis(Now.SecondCopyMs)),
                      asio::detached);
-    co_await wire->write(std::move(bytes));
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
@@ -189,14 +191,15 @@
     return Now.RepeatsId ? "Request-Id: " + id + "\r\n" : "";
   }
 
-  static asio::awaitable<void> sendAgain(std::shared_ptr<Wire> wire,
-                                         std::string bytes, Millis wait) {
+  static asio::awaitable<void>
+  sendAgain(std::shared_ptr<RawConnection> connection, std::string bytes,
+            Millis wait) {
     co_await sleepFor(wait);
-    co_await wire->write(std::move(bytes));
+    co_await connection->write(std::move(bytes));
   }
 
   asio::awaitable<bool> control(const HttpRequest &request,
-                                std::shared_ptr<Wire> wire) {
+                                std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
       Now.Stall = in.value("stall", Now.Stall);
@@ -222,14 +225,14 @@
       }
     }
     std::string bytes = answerBytes(200, counters());
-    co_await wire->write(std::move(bytes));
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
   Identity Self;
   Behaviour Now;
-  std::vector<std::shared_ptr<Wire>> Open;
-  std::vector<std::shared_ptr<Wire>> Silent;
+  std::vector<std::shared_ptr<RawConnection>> Open;
+  std::vector<std::shared_ptr<RawConnection>> Silent;
   std::map<std::string, int> Runs;
   int Running = 0;
   int Started = 0;
@@ -260,12 +263,12 @@
   identity.Incarnation = std::to_string(fleet::wallMicros());
   fleet::asio::io_context io{1};
   auto endpoint = std::make_shared<standins::Endpoint>(identity);
-  standins::serveHttp(io, identity.Listen,
-                      [endpoint](fleet::HttpRequest request,
-                                 std::shared_ptr<standins::Wire> wire) {
-                        return endpoint->handle(std::move(request),
-                                                std::move(wire));
-                      });
+  standins::serveHttp(
+      io, identity.Listen,
+      [endpoint](fleet::HttpRequest request,
+                 std::shared_ptr<standins::RawConnection> connection) {
+        return endpoint->handle(std::move(request), std::move(connection));
+      });
   fleet::asio::co_spawn(io, endpoint->announceForever(), fleet::asio::detached);
   io.run();
   return 0;
--- a/tests/standins/logstandin.cpp
+++ b/tests/standins/logstandin.cpp
@@ -54,9 +54,9 @@
 class LogService {
 public:
   asio::awaitable<bool> handle(HttpRequest request,
-                               std::shared_ptr<Wire> wire) {
+                               std::shared_ptr<RawConnection> connection) {
     if (request.Target == "/control")
-      co_return co_await control(request, wire);
+      co_return co_await control(request, connection);
     if (Now.Mode == "hang") {
       while (Now.Mode == "hang")
         co_await sleepFor(WaitStep);
@@ -67,24 +67,25 @@
     if (Now.SlowMs > 0)
       co_await sleepFor(Millis(Now.SlowMs));
     if (!request.Target.starts_with("/v1/streams/"))
-      co_return co_await reply(wire, 404, json::object(), None);
+      co_return co_await reply(connection, 404, json::object(), None);
     std::string rest = request.Target.substr(12);
     std::string name = rest.substr(0, rest.find('/'));
     if (request.Method == "POST")
-      co_return co_await append(name, request, wire);
-    co_return co_await read(name, request.Target, wire);
+      co_return co_await append(name, request, connection);
+    co_return co_await read(name, request.Target, connection);
   }
 
 private:
-  static asio::awaitable<bool> reply(std::shared_ptr<Wire> wire, int status,
-                                     json body, std::string headers) {
+  static asio::awaitable<bool> reply(std::shared_ptr<RawConnection> connection,
+                                     int status, json body,
+                                     std::string headers) {
     std::string bytes = answerBytes(status, body.dump(), headers);
-    co_await wire->write(std::move(bytes));
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
   asio::awaitable<bool> control(const HttpRequest &request,
-                                std::shared_ptr<Wire> wire) {
+                                std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
       Now.Mode = in.value("mode", Now.Mode);
@@ -96,7 +97,7 @@
     }
     json out;
     out["appends"] = Appends;
-    co_return co_await reply(wire, 200, std::move(out), None);
+    co_return co_await reply(connection, 200, std::move(out), None);
   }
 
   void expire(StreamData &stream) {
@@ -122,11 +123,11 @@
   }
 
   asio::awaitable<bool> append(std::string name, const HttpRequest &request,
-                               std::shared_ptr<Wire> wire) {
+                               std::shared_ptr<RawConnection> connection) {
     if (request.Content->size() > MostRecordBytes)
-      co_return co_await reply(wire, 413, json::object(), None);
+      co_return co_await reply(connection, 413, json::object(), None);
     if (isOverRate())
-      co_return co_await reply(wire, 429, json::object(), RetrySoon);
+      co_return co_await reply(connection, 429, json::object(), RetrySoon);
     StreamData &stream = Streams[name];
     std::int64_t offset = stream.Next++;
     stream.Records.push_back({offset, *request.Content, now()});
@@ -137,7 +138,7 @@
     }
     json out;
     out["offset"] = offset;
-    co_return co_await reply(wire, 201, std::move(out), None);
+    co_return co_await reply(connection, 201, std::move(out), None);
   }
 
   static std::int64_t parameter(const std::string &target,
@@ -150,7 +151,7 @@
   }
 
   asio::awaitable<bool> read(std::string name, std::string target,
-                             std::shared_ptr<Wire> wire) {
+                             std::shared_ptr<RawConnection> connection) {
     std::int64_t from = parameter(target, "from", 0);
     std::int64_t limit = parameter(target, "limit", 100);
     Instant until = now() + Millis(parameter(target, "wait_ms", 0));
@@ -163,7 +164,7 @@
     json out;
     out["first"] = stream.First;
     if (from < stream.First)
-      co_return co_await reply(wire, 410, std::move(out), None);
+      co_return co_await reply(connection, 410, std::move(out), None);
     json records = json::array();
     for (const Record &it : stream.Records)
       if (it.Offset >= from && std::int64_t(records.size()) < limit)
@@ -173,7 +174,7 @@
                             : records.back()["offset"].get<std::int64_t>() + 1;
     out["next"] = next;
     out["records"] = std::move(records);
-    co_return co_await reply(wire, 200, std::move(out), None);
+    co_return co_await reply(connection, 200, std::move(out), None);
   }
 
   std::map<std::string, StreamData> Streams;
@@ -194,8 +195,8 @@
   standins::serveHttp(
       io, standins::optionValue(argc, argv, "listen", "127.0.0.1:7000"),
       [service](fleet::HttpRequest request,
-                std::shared_ptr<standins::Wire> wire) {
-        return service->handle(std::move(request), std::move(wire));
+                std::shared_ptr<standins::RawConnection> connection) {
+        return service->handle(std::move(request), std::move(connection));
       });
   io.run();
   return 0;
--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -66,7 +66,7 @@
   }
 
   asio::awaitable<bool> control(HttpRequest request,
-                                std::shared_ptr<Wire> wire) {
+                                std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
       Now.DelayMs = in.value("delay_ms", Now.DelayMs);
@@ -81,7 +81,7 @@
       }
     }
     std::string bytes = answerBytes(200, "{}");
-    co_await wire->write(std::move(bytes));
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
@@ -195,12 +195,12 @@
       io, standins::endpointOf(option("listen")),
       standins::endpointOf(option("to")));
   relay->start();
-  standins::serveHttp(io, option("control"),
-                      [relay](fleet::HttpRequest request,
-                              std::shared_ptr<standins::Wire> wire) {
-                        return relay->control(std::move(request),
-                                              std::move(wire));
-                      });
+  standins::serveHttp(
+      io, option("control"),
+      [relay](fleet::HttpRequest request,
+              std::shared_ptr<standins::RawConnection> connection) {
+        return relay->control(std::move(request), std::move(connection));
+      });
   io.run();
   return 0;
 }
--- a/tests/standins/standinserver.cpp
+++ b/tests/standins/standinserver.cpp
@@ -21,9 +21,9 @@
 
 constexpr std::uint64_t MostBodyBytes = 64 * 1024 * 1024;
 
-class SocketWire : public Wire {
+class SocketConnection : public RawConnection {
 public:
-  explicit SocketWire(tcp::socket socket) : Stream(std::move(socket)) {}
+  explicit SocketConnection(tcp::socket socket) : Stream(std::move(socket)) {}
 
   asio::awaitable<void> write(std::string bytes) override {
     error_code ec;
@@ -44,14 +44,15 @@
   beast::flat_buffer Buffer;
 };
 
-asio::awaitable<void> serveConnection(std::shared_ptr<SocketWire> wire,
-                                      RawHandler handler) {
+asio::awaitable<void>
+serveConnection(std::shared_ptr<SocketConnection> connection,
+                RawHandler handler) {
   error_code ec;
-  wire->Stream.socket().set_option(tcp::no_delay(true), ec);
+  connection->Stream.socket().set_option(tcp::no_delay(true), ec);
   while (true) {
     http::request_parser<http::string_body> parser;
     parser.body_limit(MostBodyBytes);
-    co_await http::async_read(wire->Stream, wire->Buffer, parser,
+    co_await http::async_read(connection->Stream, connection->Buffer, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
     if (ec)
       break;
@@ -64,11 +65,11 @@
           {std::string(field.name_string()), std::string(field.value())});
     request.Content =
         std::make_shared<const std::string>(std::move(message.body()));
-    bool isKept = co_await handler(std::move(request), wire);
+    bool isKept = co_await handler(std::move(request), connection);
     if (!isKept)
       break;
   }
-  wire->close();
+  connection->close();
 }
 
 asio::awaitable<void> acceptAll(std::shared_ptr<tcp::acceptor> acceptor,
@@ -82,7 +83,7 @@
     auto ex = acceptor->get_executor();
     asio::co_spawn(
         ex,
-        serveConnection(std::make_shared<SocketWire>(std::move(socket)),
+        serveConnection(std::make_shared<SocketConnection>(std::move(socket)),
                         handler),
         asio::detached);
   }
--- a/tests/standins/standinserver.h
+++ b/tests/standins/standinserver.h
@@ -11,9 +11,9 @@
 namespace hickoryglade::standins {
 
 /// A connection that a stand-in may answer on with any bytes, or none.
-class Wire {
+class RawConnection {
 public:
-  virtual ~Wire() = default;
+  virtual ~RawConnection() = default;
   virtual fleet::asio::awaitable<void> write(std::string bytes) = 0;
   virtual void close() = 0;
   /// True once the other end has closed the connection.
@@ -22,7 +22,7 @@
 
 /// Handles one request; returns false to close the connection.
 using RawHandler = std::function<fleet::asio::awaitable<bool>(
-    fleet::HttpRequest, std::shared_ptr<Wire>)>;
+    fleet::HttpRequest, std::shared_ptr<RawConnection>)>;
 
 /// Serves HTTP/1.1 on one address. Exits the process if it cannot listen.
 void serveHttp(fleet::asio::io_context &io, const std::string &address,
