--- a/tests/platform/storestandin.cpp
+++ b/tests/platform/storestandin.cpp
@@ -54,7 +54,7 @@
     }
     ++Calls;
     if (Mode == "silent")
-      while (Mode == "silent" && !connection->isGone())
+      while (Mode == "silent" && !connection->isClosedByPeer())
         co_await sleepFor(WaitStep);
     if (Mode == "busy")
       co_return co_await reply(connection, answerBytes(503, "{}"));
@@ -133,7 +133,7 @@
     auto from = std::size_t(std::stoll(queryValue(target, "start_key")));
     int wait = std::stoi(queryValue(target, "wait_ms"));
     for (int ms = 0; ms < wait && Topics[name].Records.size() <= from &&
-                     !connection->isGone();
+                     !connection->isClosedByPeer();
          ms += int(WaitStep.count()))
       co_await sleepFor(WaitStep);
     if (from < First)
--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -153,10 +153,10 @@
       ++Cold;
       end += Millis(Now.ColdMs);
     }
-    while ((now() < end || isStalled()) && !connection->isGone())
+    while ((now() < end || isStalled()) && !connection->isClosedByPeer())
       co_await sleepFor(std::clamp(toMillis(end - now()), Step, Millis(20)));
     --Running;
-    if (connection->isGone())
+    if (connection->isClosedByPeer())
       co_return false;
     if (Now.LateMs > 0)
       co_await sleepFor(Millis(Now.LateMs));
--- a/tests/standins/standinserver.cpp
+++ b/tests/standins/standinserver.cpp
@@ -31,7 +31,7 @@
                                asio::redirect_error(asio::use_awaitable, ec));
   }
   void close() override { Stream.close(); }
-  bool isGone() override {
+  bool isClosedByPeer() override {
     error_code ec;
     char byte = 0;
     Stream.socket().non_blocking(true, ec);
--- a/tests/standins/standinserver.h
+++ b/tests/standins/standinserver.h
@@ -17,7 +17,7 @@
   virtual fleet::asio::awaitable<void> write(std::string bytes) = 0;
   virtual void close() = 0;
   /// True once the other end has closed the connection.
-  virtual bool isGone() = 0;
+  virtual bool isClosedByPeer() = 0;
 };
 
 /// Handles one request; returns false to close the connection.
