--- a/tests/platform/serverstandin.cpp
+++ b/tests/platform/serverstandin.cpp
@@ -147,8 +147,8 @@
 
 int main(int argc, char **argv) {
   using namespace hickoryglade;
-  auto option = [&](const std::string &name, const std::string &otherwise) {
-    return standins::optionValue(argc, argv, name, otherwise);
+  auto option = [&](const std::string &name, const std::string &fallback) {
+    return standins::optionValue(argc, argv, name, fallback);
   };
   standins::Identity identity;
   identity.Listen = option("listen", "127.0.0.1:7100");
--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -127,9 +127,9 @@
   }
 
   static int headerInt(const HttpRequest &request, const char *name,
-                       int otherwise) {
+                       int fallback) {
     std::string text = headerValue(request.Headers, name);
-    return text.empty() ? otherwise : std::atoi(text.c_str());
+    return text.empty() ? fallback : std::atoi(text.c_str());
   }
 
   asio::awaitable<bool> work(HttpRequest request,
@@ -248,8 +248,8 @@
 
 int main(int argc, char **argv) {
   using namespace hickoryglade;
-  auto option = [&](const std::string &name, const std::string &otherwise) {
-    return standins::optionValue(argc, argv, name, otherwise);
+  auto option = [&](const std::string &name, const std::string &fallback) {
+    return standins::optionValue(argc, argv, name, fallback);
   };
   standins::Identity identity;
   identity.Listen = option("listen", "127.0.0.1:7100");
--- a/tests/standins/logstandin.cpp
+++ b/tests/standins/logstandin.cpp
@@ -143,10 +143,10 @@
 
   static std::int64_t parameter(const std::string &target,
                                 const std::string &name,
-                                std::int64_t otherwise) {
+                                std::int64_t fallback) {
     std::size_t at = target.find(name + "=");
     return at == std::string::npos
-               ? otherwise
+               ? fallback
                : std::atoll(target.c_str() + at + name.size() + 1);
   }
 
--- a/tests/standins/standinserver.cpp
+++ b/tests/standins/standinserver.cpp
@@ -151,11 +151,11 @@
 }
 
 std::string optionValue(int argc, char **argv, const std::string &name,
-                        const std::string &otherwise) {
+                        const std::string &fallback) {
   for (int i = 1; i + 1 < argc; ++i)
     if (argv[i] == "--" + name)
       return argv[i + 1];
-  return otherwise;
+  return fallback;
 }
 
 } // namespace hickoryglade::standins
--- a/tests/standins/standinserver.h
+++ b/tests/standins/standinserver.h
@@ -46,6 +46,6 @@
 
 /// Value of "--name VALUE" on the command line, or a default.
 std::string optionValue(int argc, char **argv, const std::string &name,
-                        const std::string &otherwise);
+                        const std::string &fallback);
 
 } // namespace hickoryglade::standins
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -31,10 +31,10 @@
 }
 
 /// The number after a word, or a default.
-int numberAfter(const Words &words, const std::string &word, int otherwise) {
+int numberAfter(const Words &words, const std::string &word, int fallback) {
   auto it = std::ranges::find(words, word);
   if (it == words.end() || it + 1 == words.end())
-    return otherwise;
+    return fallback;
   return std::stoi(*(it + 1));
 }
 
