--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -83,7 +83,7 @@
     while (true) {
       std::string method = "POST";
       std::string target = "/v1/endpoints";
-      if (Now.Announce)
+      if (Active.Announce)
         co_await callHttp(Self.Announce, method, target, announcement());
       for (int i = 0; i < 100 && !IsAnnounceDue; ++i)
         co_await sleepFor(Millis(10));
@@ -100,7 +100,7 @@
                 {"slots", Self.Slots},
                 {"data_centre", Self.DataCentre},
                 {"incarnation", Self.Incarnation},
-                {"state", Now.State}}
+                {"state", Active.State}}
         .dump();
   }
 
@@ -119,11 +119,11 @@
   }
 
   bool isStalled() const {
-    if (Now.FlapMs > 0) {
-      auto phase = now().time_since_epoch() / Millis(Now.FlapMs);
+    if (Active.FlapMs > 0) {
+      auto phase = now().time_since_epoch() / Millis(Active.FlapMs);
       return phase % 2 == 1;
     }
-    return Now.Stall;
+    return Active.Stall;
   }
 
   static int headerInt(const HttpRequest &request, const char *name,
@@ -134,7 +134,7 @@
 
   asio::awaitable<bool> work(HttpRequest request,
                              std::shared_ptr<RawConnection> connection) {
-    if (Now.Shed || Running >= Self.Slots) {
+    if (Active.Shed || Running >= Self.Slots) {
       Overruns += Running >= Self.Slots;
       std::string bytes = answerBytes(503, "", "Endpoint-Shed: not-run\r\n");
       co_await connection->write(std::move(bytes));
@@ -149,38 +149,38 @@
     if (request.Content->find("POISON") != std::string::npos)
       _exit(70);
     Instant end = now() + Millis(headerInt(request, "X-Work-Ms", Self.WorkMs));
-    if (Cold < Now.ColdRequests) {
+    if (Cold < Active.ColdRequests) {
       ++Cold;
-      end += Millis(Now.ColdMs);
+      end += Millis(Active.ColdMs);
     }
     while ((now() < end || isStalled()) && !connection->isClosedByPeer())
       co_await sleepFor(std::clamp(toMillis(end - now()), Step, Millis(20)));
     --Running;
     if (connection->isClosedByPeer())
       co_return false;
-    if (Now.LateMs > 0)
-      co_await sleepFor(Millis(Now.LateMs));
+    if (Active.LateMs > 0)
+      co_await sleepFor(Millis(Active.LateMs));
     co_return co_await answer(request, connection);
   }
 
   asio::awaitable<bool> answer(const HttpRequest &request,
                                std::shared_ptr<RawConnection> connection) {
     std::string body = "endpoint=" + Self.Name + "\n" + *request.Content;
-    int load = Now.LieLoad ? 0 : Running;
+    int load = Active.LieLoad ? 0 : Running;
     std::string bytes =
         answerBytes(200, body,
                     "Endpoint-Load: " + std::to_string(load) + "/" +
                         std::to_string(Self.Slots) + "\r\nX-Echo-Id: " +
                         headerValue(request.Headers, "X-Client-Id") + "\r\n" +
                         idLine(request));
-    if (Now.Truncate) {
+    if (Active.Truncate) {
       co_await connection->write(
           bytes.substr(0, bytes.size() - body.size() / 2 - 1));
       co_return false;
     }
-    if (Now.SecondCopyMs > 0)
+    if (Active.SecondCopyMs > 0)
       asio::co_spawn(co_await asio::this_coro::executor,
-                     sendAgain(connection, bytes, Millis(Now.SecondCopyMs)),
+                     sendAgain(connection, bytes, Millis(Active.SecondCopyMs)),
                      asio::detached);
     co_await connection->write(std::move(bytes));
     co_return true;
@@ -188,7 +188,7 @@
 
   std::string idLine(const HttpRequest &request) const {
     std::string id = headerValue(request.Headers, "Request-Id");
-    return Now.RepeatsId ? "Request-Id: " + id + "\r\n" : "";
+    return Active.RepeatsId ? "Request-Id: " + id + "\r\n" : "";
   }
 
   static asio::awaitable<void>
@@ -202,23 +202,23 @@
                                 std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
-      Now.Stall = in.value("stall", Now.Stall);
-      Now.FlapMs = in.value("flap_ms", Now.FlapMs);
-      Now.ColdMs = in.value("cold_ms", Now.ColdMs);
-      Now.ColdRequests = in.value("cold_requests", Now.ColdRequests);
-      Now.LieLoad = in.value("lie_load", Now.LieLoad);
-      Now.Truncate = in.value("truncate", Now.Truncate);
-      Now.SecondCopyMs = in.value("second_copy_ms", Now.SecondCopyMs);
-      Now.RepeatsId = in.value("repeats_id", Now.RepeatsId);
-      Now.LateMs = in.value("late_ms", Now.LateMs);
-      Now.Shed = in.value("shed", Now.Shed);
-      Now.Announce = in.value("announce", Now.Announce);
-      Now.State = in.value("state", Now.State);
+      Active.Stall = in.value("stall", Active.Stall);
+      Active.FlapMs = in.value("flap_ms", Active.FlapMs);
+      Active.ColdMs = in.value("cold_ms", Active.ColdMs);
+      Active.ColdRequests = in.value("cold_requests", Active.ColdRequests);
+      Active.LieLoad = in.value("lie_load", Active.LieLoad);
+      Active.Truncate = in.value("truncate", Active.Truncate);
+      Active.SecondCopyMs = in.value("second_copy_ms", Active.SecondCopyMs);
+      Active.RepeatsId = in.value("repeats_id", Active.RepeatsId);
+      Active.LateMs = in.value("late_ms", Active.LateMs);
+      Active.Shed = in.value("shed", Active.Shed);
+      Active.Announce = in.value("announce", Active.Announce);
+      Active.State = in.value("state", Active.State);
       IsAnnounceDue = IsAnnounceDue || in.contains("state");
       if (in.value("silence", false))
         Silent = Open;
       if (in.value("leave", false)) {
-        Now.Announce = false;
+        Active.Announce = false;
         std::string method = "DELETE";
         std::string target = "/v1/endpoints/" + Self.Name;
         co_await callHttp(Self.Announce, method, target, std::string());
@@ -230,7 +230,7 @@
   }
 
   Identity Self;
-  Behaviour Now;
+  Behaviour Active;
   std::vector<std::shared_ptr<RawConnection>> Open;
   std::vector<std::shared_ptr<RawConnection>> Silent;
   std::map<std::string, int> Runs;
--- a/tests/standins/logstandin.cpp
+++ b/tests/standins/logstandin.cpp
@@ -57,15 +57,15 @@
                                std::shared_ptr<RawConnection> connection) {
     if (request.Target == "/control")
       co_return co_await control(request, connection);
-    if (Now.Mode == "hang") {
-      while (Now.Mode == "hang")
+    if (Active.Mode == "hang") {
+      while (Active.Mode == "hang")
         co_await sleepFor(WaitStep);
       co_return false;
     }
-    if (Now.Mode == "refuse")
+    if (Active.Mode == "refuse")
       co_return false;
-    if (Now.SlowMs > 0)
-      co_await sleepFor(Millis(Now.SlowMs));
+    if (Active.SlowMs > 0)
+      co_await sleepFor(Millis(Active.SlowMs));
     if (!request.Target.starts_with("/v1/streams/"))
       co_return co_await reply(connection, 404, json::object(), None);
     std::string rest = request.Target.substr(12);
@@ -88,12 +88,12 @@
                                 std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
-      Now.Mode = in.value("mode", Now.Mode);
-      Now.SlowMs = in.value("slow_ms", Now.SlowMs);
-      Now.LoseReplies = in.value("lose_replies", Now.LoseReplies);
-      Now.KeepRecords = in.value("keep_records", Now.KeepRecords);
-      Now.KeepMs = in.value("keep_ms", Now.KeepMs);
-      Now.Rate = in.value("rate", Now.Rate);
+      Active.Mode = in.value("mode", Active.Mode);
+      Active.SlowMs = in.value("slow_ms", Active.SlowMs);
+      Active.LoseReplies = in.value("lose_replies", Active.LoseReplies);
+      Active.KeepRecords = in.value("keep_records", Active.KeepRecords);
+      Active.KeepMs = in.value("keep_ms", Active.KeepMs);
+      Active.Rate = in.value("rate", Active.Rate);
     }
     json out;
     out["appends"] = Appends;
@@ -103,8 +103,9 @@
   void expire(StreamData &stream) {
     auto isOver = [&](const Record &it) {
       bool isTooMany =
-          Now.KeepRecords > 0 && stream.Records.size() > Now.KeepRecords;
-      bool isTooOld = Now.KeepMs > 0 && now() - it.At > Millis(Now.KeepMs);
+          Active.KeepRecords > 0 && stream.Records.size() > Active.KeepRecords;
+      bool isTooOld =
+          Active.KeepMs > 0 && now() - it.At > Millis(Active.KeepMs);
       return isTooMany || isTooOld;
     };
     while (!stream.Records.empty() && isOver(stream.Records.front())) {
@@ -119,7 +120,7 @@
       RateSecond = second;
       RateCount = 0;
     }
-    return Now.Rate > 0 && ++RateCount > Now.Rate;
+    return Active.Rate > 0 && ++RateCount > Active.Rate;
   }
 
   asio::awaitable<bool> append(std::string name, const HttpRequest &request,
@@ -132,8 +133,8 @@
     std::int64_t offset = stream.Next++;
     stream.Records.push_back({offset, *request.Content, now()});
     ++Appends;
-    if (Now.LoseReplies > 0) {
-      --Now.LoseReplies;
+    if (Active.LoseReplies > 0) {
+      --Active.LoseReplies;
       co_return false;
     }
     json out;
@@ -155,9 +156,9 @@
     std::int64_t from = parameter(target, "from", 0);
     std::int64_t limit = parameter(target, "limit", 100);
     Instant until = now() + Millis(parameter(target, "wait_ms", 0));
-    while (Streams[name].Next <= from && now() < until && Now.Mode == "ok")
+    while (Streams[name].Next <= from && now() < until && Active.Mode == "ok")
       co_await sleepFor(WaitStep);
-    if (Now.Mode != "ok")
+    if (Active.Mode != "ok")
       co_return false;
     StreamData &stream = Streams[name];
     expire(stream);
@@ -178,7 +179,7 @@
   }
 
   std::map<std::string, StreamData> Streams;
-  Faults Now;
+  Faults Active;
   int Appends = 0;
   std::int64_t RateSecond = 0;
   int RateCount = 0;
--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -69,10 +69,10 @@
                                 std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
-      Now.DelayMs = in.value("delay_ms", Now.DelayMs);
-      Now.FreezeIn = in.value("freeze_in", Now.FreezeIn);
-      Now.FreezeOut = in.value("freeze_out", Now.FreezeOut);
-      Now.CutNode = in.value("cut_node", Now.CutNode);
+      Active.DelayMs = in.value("delay_ms", Active.DelayMs);
+      Active.FreezeIn = in.value("freeze_in", Active.FreezeIn);
+      Active.FreezeOut = in.value("freeze_out", Active.FreezeOut);
+      Active.CutNode = in.value("cut_node", Active.CutNode);
       for (const auto &pair : Pairs) {
         pair->IsSilent = pair->IsSilent || in.value("silence", false);
         silenceIfCut(*pair);
@@ -100,7 +100,7 @@
   }
 
   asio::awaitable<void> serve(std::shared_ptr<Pair> pair) {
-    while (Now.FreezeIn && pair->Client.is_open())
+    while (Active.FreezeIn && pair->Client.is_open())
       co_await sleepFor(Step);
     error_code ec;
     co_await pair->Server.async_connect(
@@ -111,15 +111,15 @@
     }
     pair->Client.set_option(tcp::no_delay(true), ec);
     pair->Server.set_option(tcp::no_delay(true), ec);
-    asio::co_spawn(Io, pump(pair, pair->Server, pair->Client, Now.FreezeOut),
+    asio::co_spawn(Io, pump(pair, pair->Server, pair->Client, Active.FreezeOut),
                    asio::detached);
-    co_await pump(pair, pair->Client, pair->Server, Now.FreezeIn);
+    co_await pump(pair, pair->Client, pair->Server, Active.FreezeIn);
     Pairs.remove(pair);
   }
 
   void silenceIfCut(Pair &pair) const {
-    bool isCut = !Now.CutNode.empty() &&
-                 pair.FirstBytes.find(Now.CutNode) != std::string::npos;
+    bool isCut = !Active.CutNode.empty() &&
+                 pair.FirstBytes.find(Active.CutNode) != std::string::npos;
     pair.IsSilent = pair.IsSilent || isCut;
   }
 
@@ -137,8 +137,8 @@
         pair->FirstBytes.assign(buf.data(), n);
         silenceIfCut(*pair);
       }
-      if (Now.DelayMs > 0)
-        co_await sleepFor(Millis(Now.DelayMs));
+      if (Active.DelayMs > 0)
+        co_await sleepFor(Millis(Active.DelayMs));
       while ((isFrozen || pair->IsSilent) && to.is_open())
         co_await sleepFor(Step);
       co_await asio::async_write(to, asio::buffer(buf.data(), n),
@@ -157,7 +157,7 @@
       std::size_t n = co_await Datagrams.async_receive_from(
           asio::buffer(buf), sender,
           asio::redirect_error(asio::use_awaitable, ec));
-      if (ec || Now.FreezeIn)
+      if (ec || Active.FreezeIn)
         continue;
       Datagrams.send_to(asio::buffer(buf.data(), n), DatagramsTo, 0, ec);
     }
@@ -168,7 +168,7 @@
   tcp::endpoint To;
   udp::socket Datagrams;
   udp::endpoint DatagramsTo;
-  Faults Now;
+  Faults Active;
   std::list<std::shared_ptr<Pair>> Pairs;
 };
 
