--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -29,7 +29,7 @@
   int ColdMs = 0;
   int ColdRequests = 0;
   /// Reports no load whatever runs.
-  bool LieLoad = false;
+  bool ReportsZeroLoad = false;
   /// Breaks off answers in the middle.
   bool Truncate = false;
   /// Sends each answer once more after this time, if it is above 0.
@@ -166,7 +166,7 @@
   asio::awaitable<bool> answer(const HttpRequest &request,
                                std::shared_ptr<RawConnection> connection) {
     std::string body = "endpoint=" + Self.Name + "\n" + *request.Content;
-    int load = Active.LieLoad ? 0 : Running;
+    int load = Active.ReportsZeroLoad ? 0 : Running;
     std::string bytes =
         answerBytes(200, body,
                     "Endpoint-Load: " + std::to_string(load) + "/" +
@@ -206,7 +206,7 @@
       Active.FlapMs = in.value("flap_ms", Active.FlapMs);
       Active.ColdMs = in.value("cold_ms", Active.ColdMs);
       Active.ColdRequests = in.value("cold_requests", Active.ColdRequests);
-      Active.LieLoad = in.value("lie_load", Active.LieLoad);
+      Active.ReportsZeroLoad = in.value("lie_load", Active.ReportsZeroLoad);
       Active.Truncate = in.value("truncate", Active.Truncate);
       Active.SecondCopyMs = in.value("second_copy_ms", Active.SecondCopyMs);
       Active.RepeatsId = in.value("repeats_id", Active.RepeatsId);
