--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -26,8 +26,8 @@
   /// Alternates between well and stalled with this period.
   int FlapMs = 0;
   /// The first requests take longer by this much.
-  int ColdMs = 0;
-  int ColdRequests = 0;
+  int ColdStartMs = 0;
+  int ColdStartRequests = 0;
   /// Reports no load whatever runs.
   bool ReportsZeroLoad = false;
   /// Breaks off answers in the middle.
@@ -149,9 +149,9 @@
     if (request.Content->find("POISON") != std::string::npos)
       _exit(70);
     Instant end = now() + Millis(headerInt(request, "X-Work-Ms", Self.WorkMs));
-    if (Cold < Active.ColdRequests) {
-      ++Cold;
-      end += Millis(Active.ColdMs);
+    if (ColdStarts < Active.ColdStartRequests) {
+      ++ColdStarts;
+      end += Millis(Active.ColdStartMs);
     }
     while ((now() < end || isStalled()) && !connection->isClosedByPeer())
       co_await sleepFor(std::clamp(toMillis(end - now()), Step, Millis(20)));
@@ -204,8 +204,9 @@
     if (in.is_object()) {
       Active.Stall = in.value("stall", Active.Stall);
       Active.FlapMs = in.value("flap_ms", Active.FlapMs);
-      Active.ColdMs = in.value("cold_ms", Active.ColdMs);
-      Active.ColdRequests = in.value("cold_requests", Active.ColdRequests);
+      Active.ColdStartMs = in.value("cold_ms", Active.ColdStartMs);
+      Active.ColdStartRequests =
+          in.value("cold_requests", Active.ColdStartRequests);
       Active.ReportsZeroLoad = in.value("lie_load", Active.ReportsZeroLoad);
       Active.Truncate = in.value("truncate", Active.Truncate);
       Active.SecondCopyMs = in.value("second_copy_ms", Active.SecondCopyMs);
@@ -238,7 +239,7 @@
   int Started = 0;
   int MostRunning = 0;
   int Overruns = 0;
-  int Cold = 0;
+  int ColdStarts = 0;
   bool IsAnnounceDue = false;
 };
 
