--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -37,7 +37,7 @@
   /// Repeats the id of the request in its answer.
   bool RepeatsId = true;
   /// Answers only after this extra time.
-  int LateMs = 0;
+  int ExtraDelayMs = 0;
   /// Ignores connections that were open when this was set.
   bool SilentConnections = false;
   bool Shed = false;
@@ -158,8 +158,8 @@
     --Running;
     if (connection->isClosedByPeer())
       co_return false;
-    if (Active.LateMs > 0)
-      co_await sleepFor(Millis(Active.LateMs));
+    if (Active.ExtraDelayMs > 0)
+      co_await sleepFor(Millis(Active.ExtraDelayMs));
     co_return co_await answer(request, connection);
   }
 
@@ -211,7 +211,7 @@
       Active.Truncate = in.value("truncate", Active.Truncate);
       Active.SecondCopyMs = in.value("second_copy_ms", Active.SecondCopyMs);
       Active.RepeatsId = in.value("repeats_id", Active.RepeatsId);
-      Active.LateMs = in.value("late_ms", Active.LateMs);
+      Active.ExtraDelayMs = in.value("late_ms", Active.ExtraDelayMs);
       Active.Shed = in.value("shed", Active.Shed);
       Active.Announce = in.value("announce", Active.Announce);
       Active.State = in.value("state", Active.State);
