--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -33,7 +33,7 @@
   /// Breaks off answers in the middle.
   bool Truncate = false;
   /// Sends each answer once more after this time, if it is above 0.
-  int SecondCopyMs = 0;
+  int DuplicateDelayMs = 0;
   /// Repeats the id of the request in its answer.
   bool RepeatsId = true;
   /// Answers only after this extra time.
@@ -178,10 +178,11 @@
           bytes.substr(0, bytes.size() - body.size() / 2 - 1));
       co_return false;
     }
-    if (Active.SecondCopyMs > 0)
-      asio::co_spawn(co_await asio::this_coro::executor,
-                     sendAgain(connection, bytes, Millis(Active.SecondCopyMs)),
-                     asio::detached);
+    if (Active.DuplicateDelayMs > 0)
+      asio::co_spawn(
+          co_await asio::this_coro::executor,
+          sendDuplicate(connection, bytes, Millis(Active.DuplicateDelayMs)),
+          asio::detached);
     co_await connection->write(std::move(bytes));
     co_return true;
   }
@@ -192,8 +193,8 @@
   }
 
   static asio::awaitable<void>
-  sendAgain(std::shared_ptr<RawConnection> connection, std::string bytes,
-            Millis wait) {
+  sendDuplicate(std::shared_ptr<RawConnection> connection, std::string bytes,
+                Millis wait) {
     co_await sleepFor(wait);
     co_await connection->write(std::move(bytes));
   }
@@ -209,7 +210,8 @@
           in.value("cold_requests", Active.ColdStartRequests);
       Active.ReportsZeroLoad = in.value("lie_load", Active.ReportsZeroLoad);
       Active.Truncate = in.value("truncate", Active.Truncate);
-      Active.SecondCopyMs = in.value("second_copy_ms", Active.SecondCopyMs);
+      Active.DuplicateDelayMs =
+          in.value("second_copy_ms", Active.DuplicateDelayMs);
       Active.RepeatsId = in.value("repeats_id", Active.RepeatsId);
       Active.ExtraDelayMs = in.value("late_ms", Active.ExtraDelayMs);
       Active.Shed = in.value("shed", Active.Shed);
