--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -35,7 +35,7 @@
   /// Sends each answer once more after this time, if it is above 0.
   int DuplicateDelayMs = 0;
   /// Repeats the id of the request in its answer.
-  bool RepeatsId = true;
+  bool EchoesRequestId = true;
   /// Answers only after this extra time.
   int ExtraDelayMs = 0;
   /// Ignores connections that were open when this was set.
@@ -172,7 +172,7 @@
                     "Endpoint-Load: " + std::to_string(load) + "/" +
                         std::to_string(Self.Slots) + "\r\nX-Echo-Id: " +
                         headerValue(request.Headers, "X-Client-Id") + "\r\n" +
-                        idLine(request));
+                        requestIdHeader(request));
     if (Active.Truncate) {
       co_await connection->write(
           bytes.substr(0, bytes.size() - body.size() / 2 - 1));
@@ -187,9 +187,9 @@
     co_return true;
   }
 
-  std::string idLine(const HttpRequest &request) const {
+  std::string requestIdHeader(const HttpRequest &request) const {
     std::string id = headerValue(request.Headers, "Request-Id");
-    return Active.RepeatsId ? "Request-Id: " + id + "\r\n" : "";
+    return Active.EchoesRequestId ? "Request-Id: " + id + "\r\n" : "";
   }
 
   static asio::awaitable<void>
@@ -212,7 +212,7 @@
       Active.Truncate = in.value("truncate", Active.Truncate);
       Active.DuplicateDelayMs =
           in.value("second_copy_ms", Active.DuplicateDelayMs);
-      Active.RepeatsId = in.value("repeats_id", Active.RepeatsId);
+      Active.EchoesRequestId = in.value("repeats_id", Active.EchoesRequestId);
       Active.ExtraDelayMs = in.value("late_ms", Active.ExtraDelayMs);
       Active.Shed = in.value("shed", Active.Shed);
       Active.Announce = in.value("announce", Active.Announce);
