--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -107,7 +107,7 @@
   std::string counters() const {
     return json{{"running", Running},
                 {"started", Started},
-                {"most_running", MostRunning},
+                {"most_running", MaxRunning},
                 {"overruns", Overruns},
                 {"runs", Runs}}
         .dump();
@@ -142,7 +142,7 @@
     }
     ++Running;
     ++Started;
-    MostRunning = std::max(MostRunning, Running);
+    MaxRunning = std::max(MaxRunning, Running);
     std::string tag = headerValue(request.Headers, "X-Run-Tag");
     if (!tag.empty())
       ++Runs[tag];
@@ -239,7 +239,7 @@
   std::map<std::string, int> Runs;
   int Running = 0;
   int Started = 0;
-  int MostRunning = 0;
+  int MaxRunning = 0;
   int Overruns = 0;
   int ColdStarts = 0;
   bool IsAnnounceDue = false;
