--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -65,7 +65,8 @@
                                std::shared_ptr<RawConnection> connection) {
     if (request.Target == "/_control")
       co_return co_await control(request, connection);
-    if (std::ranges::find(Silent, connection) != Silent.end()) {
+    if (std::ranges::find(IgnoredConnections, connection) !=
+        IgnoredConnections.end()) {
       while (true)
         co_await sleepFor(std::chrono::seconds(1));
     }
@@ -114,8 +115,8 @@
   }
 
   void trackConnection(const std::shared_ptr<RawConnection> &connection) {
-    if (std::ranges::find(Open, connection) == Open.end())
-      Open.push_back(connection);
+    if (std::ranges::find(OpenConnections, connection) == OpenConnections.end())
+      OpenConnections.push_back(connection);
   }
 
   bool isStalled() const {
@@ -219,7 +220,7 @@
       Active.State = in.value("state", Active.State);
       IsAnnounceDue = IsAnnounceDue || in.contains("state");
       if (in.value("silence", false))
-        Silent = Open;
+        IgnoredConnections = OpenConnections;
       if (in.value("leave", false)) {
         Active.Announce = false;
         std::string method = "DELETE";
@@ -234,8 +235,8 @@
 
   Identity Self;
   Behaviour Active;
-  std::vector<std::shared_ptr<RawConnection>> Open;
-  std::vector<std::shared_ptr<RawConnection>> Silent;
+  std::vector<std::shared_ptr<RawConnection>> OpenConnections;
+  std::vector<std::shared_ptr<RawConnection>> IgnoredConnections;
   std::map<std::string, int> Runs;
   int Running = 0;
   int Started = 0;
