--- a/tests/standins/logstandin.cpp
+++ b/tests/standins/logstandin.cpp
@@ -101,14 +101,14 @@
   }
 
   void expire(StreamData &stream) {
-    auto isOver = [&](const Record &it) {
+    auto isExpired = [&](const Record &it) {
       bool isTooMany =
           Active.KeepRecords > 0 && stream.Records.size() > Active.KeepRecords;
       bool isTooOld =
           Active.KeepMs > 0 && now() - it.At > Millis(Active.KeepMs);
       return isTooMany || isTooOld;
     };
-    while (!stream.Records.empty() && isOver(stream.Records.front())) {
+    while (!stream.Records.empty() && isExpired(stream.Records.front())) {
       stream.First = stream.Records.front().Offset + 1;
       stream.Records.pop_front();
     }
