--- a/tests/standins/logstandin.cpp
+++ b/tests/standins/logstandin.cpp
@@ -20,8 +20,8 @@
 
 constexpr std::size_t MostRecordBytes = 64 * 1024;
 constexpr Millis WaitStep{5};
-const std::string None;
-const std::string RetrySoon = "Retry-After: 1\r\n";
+const std::string NoHeaders;
+const std::string RetryAfterHeader = "Retry-After: 1\r\n";
 
 struct Record {
   std::int64_t Offset = 0;
@@ -67,7 +67,7 @@
     if (Active.SlowMs > 0)
       co_await sleepFor(Millis(Active.SlowMs));
     if (!request.Target.starts_with("/v1/streams/"))
-      co_return co_await reply(connection, 404, json::object(), None);
+      co_return co_await reply(connection, 404, json::object(), NoHeaders);
     std::string rest = request.Target.substr(12);
     std::string name = rest.substr(0, rest.find('/'));
     if (request.Method == "POST")
@@ -97,7 +97,7 @@
     }
     json out;
     out["appends"] = Appends;
-    co_return co_await reply(connection, 200, std::move(out), None);
+    co_return co_await reply(connection, 200, std::move(out), NoHeaders);
   }
 
   void expire(StreamData &stream) {
@@ -126,9 +126,10 @@
   asio::awaitable<bool> append(std::string name, const HttpRequest &request,
                                std::shared_ptr<RawConnection> connection) {
     if (request.Content->size() > MostRecordBytes)
-      co_return co_await reply(connection, 413, json::object(), None);
+      co_return co_await reply(connection, 413, json::object(), NoHeaders);
     if (isOverRate())
-      co_return co_await reply(connection, 429, json::object(), RetrySoon);
+      co_return co_await reply(connection, 429, json::object(),
+                               RetryAfterHeader);
     StreamData &stream = Streams[name];
     std::int64_t offset = stream.Next++;
     stream.Records.push_back({offset, *request.Content, now()});
@@ -139,7 +140,7 @@
     }
     json out;
     out["offset"] = offset;
-    co_return co_await reply(connection, 201, std::move(out), None);
+    co_return co_await reply(connection, 201, std::move(out), NoHeaders);
   }
 
   static std::int64_t parameter(const std::string &target,
@@ -165,7 +166,7 @@
     json out;
     out["first"] = stream.First;
     if (from < stream.First)
-      co_return co_await reply(connection, 410, std::move(out), None);
+      co_return co_await reply(connection, 410, std::move(out), NoHeaders);
     json records = json::array();
     for (const Record &it : stream.Records)
       if (it.Offset >= from && std::int64_t(records.size()) < limit)
@@ -175,7 +176,7 @@
                             : records.back()["offset"].get<std::int64_t>() + 1;
     out["next"] = next;
     out["records"] = std::move(records);
-    co_return co_await reply(connection, 200, std::move(out), None);
+    co_return co_await reply(connection, 200, std::move(out), NoHeaders);
   }
 
   std::map<std::string, StreamData> Streams;
