--- a/tests/process/httpcall.cpp
+++ b/tests/process/httpcall.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::uint64_t MostBytes = 64 * 1024 * 1024;
+constexpr std::uint64_t MaxResponseBytes = 64 * 1024 * 1024;
 
 tcp::endpoint endpointOf(const std::string &address) {
   auto parsed = parseAddress(address);
@@ -40,7 +40,7 @@
                                asio::redirect_error(asio::use_awaitable, ec));
   beast::flat_buffer buf;
   http::response_parser<http::string_body> parser;
-  parser.body_limit(MostBytes);
+  parser.body_limit(MaxResponseBytes);
   if (!ec)
     co_await http::async_read(stream, buf, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
--- a/tests/standins/logstandin.cpp
+++ b/tests/standins/logstandin.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::size_t MostRecordBytes = 64 * 1024;
+constexpr std::size_t MaxRecordBytes = 64 * 1024;
 constexpr Millis WaitStep{5};
 const std::string NoHeaders;
 const std::string RetryAfterHeader = "Retry-After: 1\r\n";
@@ -125,7 +125,7 @@
 
   asio::awaitable<bool> append(std::string name, const HttpRequest &request,
                                std::shared_ptr<RawConnection> connection) {
-    if (request.Content->size() > MostRecordBytes)
+    if (request.Content->size() > MaxRecordBytes)
       co_return co_await reply(connection, 413, json::object(), NoHeaders);
     if (isOverRate())
       co_return co_await reply(connection, 429, json::object(),
--- a/tests/standins/standinserver.cpp
+++ b/tests/standins/standinserver.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr std::uint64_t MostBodyBytes = 64 * 1024 * 1024;
+constexpr std::uint64_t MaxRequestBytes = 64 * 1024 * 1024;
 
 class SocketConnection : public RawConnection {
 public:
@@ -51,7 +51,7 @@
   connection->Stream.socket().set_option(tcp::no_delay(true), ec);
   while (true) {
     http::request_parser<http::string_body> parser;
-    parser.body_limit(MostBodyBytes);
+    parser.body_limit(MaxRequestBytes);
     co_await http::async_read(connection->Stream, connection->Buffer, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
     if (ec)
