--- a/tests/standins/logstandin.cpp
+++ b/tests/standins/logstandin.cpp
@@ -41,10 +41,10 @@
   int SlowMs = 0;
   /// Appends still to be made whose reply is lost.
   int LoseReplies = 0;
-  std::size_t KeepRecords = 0;
-  int KeepMs = 0;
+  std::size_t RetainedRecords = 0;
+  int RetentionMs = 0;
   /// Appends a second above which 429 is answered; 0 for no limit.
-  int Rate = 0;
+  int MaxAppendsPerSecond = 0;
 };
 
 json toJson(const Record &it) {
@@ -91,9 +91,9 @@
       Active.Mode = in.value("mode", Active.Mode);
       Active.SlowMs = in.value("slow_ms", Active.SlowMs);
       Active.LoseReplies = in.value("lose_replies", Active.LoseReplies);
-      Active.KeepRecords = in.value("keep_records", Active.KeepRecords);
-      Active.KeepMs = in.value("keep_ms", Active.KeepMs);
-      Active.Rate = in.value("rate", Active.Rate);
+      Active.RetainedRecords = in.value("keep_records", Active.RetainedRecords);
+      Active.RetentionMs = in.value("keep_ms", Active.RetentionMs);
+      Active.MaxAppendsPerSecond = in.value("rate", Active.MaxAppendsPerSecond);
     }
     json out;
     out["appends"] = Appends;
@@ -102,10 +102,10 @@
 
   void expire(StreamData &stream) {
     auto isExpired = [&](const Record &it) {
-      bool isTooMany =
-          Active.KeepRecords > 0 && stream.Records.size() > Active.KeepRecords;
+      bool isTooMany = Active.RetainedRecords > 0 &&
+                       stream.Records.size() > Active.RetainedRecords;
       bool isTooOld =
-          Active.KeepMs > 0 && now() - it.At > Millis(Active.KeepMs);
+          Active.RetentionMs > 0 && now() - it.At > Millis(Active.RetentionMs);
       return isTooMany || isTooOld;
     };
     while (!stream.Records.empty() && isExpired(stream.Records.front())) {
@@ -120,7 +120,8 @@
       RateSecond = second;
       RateCount = 0;
     }
-    return Active.Rate > 0 && ++RateCount > Active.Rate;
+    return Active.MaxAppendsPerSecond > 0 &&
+           ++RateCount > Active.MaxAppendsPerSecond;
   }
 
   asio::awaitable<bool> append(std::string name, const HttpRequest &request,
