--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -35,8 +35,8 @@
 };
 
 /// One relayed connection.
-struct Pair {
-  explicit Pair(tcp::socket client)
+struct ConnectionPair {
+  explicit ConnectionPair(tcp::socket client)
       : Client(std::move(client)), Server(Client.get_executor()) {}
 
   tcp::socket Client;
@@ -93,13 +93,13 @@
           asio::redirect_error(asio::use_awaitable, ec));
       if (ec)
         continue;
-      auto pair = std::make_shared<Pair>(std::move(client));
+      auto pair = std::make_shared<ConnectionPair>(std::move(client));
       Pairs.push_back(pair);
       asio::co_spawn(Io, serve(pair), asio::detached);
     }
   }
 
-  asio::awaitable<void> serve(std::shared_ptr<Pair> pair) {
+  asio::awaitable<void> serve(std::shared_ptr<ConnectionPair> pair) {
     while (Active.FreezeIn && pair->Client.is_open())
       co_await sleepFor(Step);
     error_code ec;
@@ -117,15 +117,16 @@
     Pairs.remove(pair);
   }
 
-  void silenceIfCut(Pair &pair) const {
+  void silenceIfCut(ConnectionPair &pair) const {
     bool isCut = !Active.CutNode.empty() &&
                  pair.FirstBytes.find(Active.CutNode) != std::string::npos;
     pair.IsSilent = pair.IsSilent || isCut;
   }
 
   /// Passes bytes one way, in order, each piece after the delay.
-  asio::awaitable<void> pump(std::shared_ptr<Pair> pair, tcp::socket &from,
-                             tcp::socket &to, const bool &isFrozen) {
+  asio::awaitable<void> pump(std::shared_ptr<ConnectionPair> pair,
+                             tcp::socket &from, tcp::socket &to,
+                             const bool &isFrozen) {
     std::array<char, BufferBytes> buf{};
     error_code ec;
     while (!ec) {
@@ -169,7 +170,7 @@
   udp::socket Datagrams;
   udp::endpoint DatagramsTo;
   Faults Active;
-  std::list<std::shared_ptr<Pair>> Pairs;
+  std::list<std::shared_ptr<ConnectionPair>> Pairs;
 };
 
 tcp::endpoint endpointOf(const std::string &address) {
