--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -111,9 +111,10 @@
     }
     pair->Client.set_option(tcp::no_delay(true), ec);
     pair->Server.set_option(tcp::no_delay(true), ec);
-    asio::co_spawn(Io, pump(pair, pair->Server, pair->Client, Active.FreezeOut),
-                   asio::detached);
-    co_await pump(pair, pair->Client, pair->Server, Active.FreezeIn);
+    asio::co_spawn(
+        Io, forwardStream(pair, pair->Server, pair->Client, Active.FreezeOut),
+        asio::detached);
+    co_await forwardStream(pair, pair->Client, pair->Server, Active.FreezeIn);
     Pairs.remove(pair);
   }
 
@@ -124,9 +125,9 @@
   }
 
   /// Passes bytes one way, in order, each piece after the delay.
-  asio::awaitable<void> pump(std::shared_ptr<ConnectionPair> pair,
-                             tcp::socket &from, tcp::socket &to,
-                             const bool &isFrozen) {
+  asio::awaitable<void> forwardStream(std::shared_ptr<ConnectionPair> pair,
+                                      tcp::socket &from, tcp::socket &to,
+                                      const bool &isFrozen) {
     std::array<char, BufferBytes> buf{};
     error_code ec;
     while (!ec) {
