--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -31,8 +31,8 @@
 }
 
 /// What the caller was told agrees with what was run.
-void checkHonest(TestFleet &fleet, const std::string &tag,
-                 const HttpReply &reply) {
+void checkOutcome(TestFleet &fleet, const std::string &tag,
+                  const HttpReply &reply) {
   int runs = fleet.runsOf(tag);
   INFO("tag " << tag << " status " << reply.Status << " " << reply.Body);
   CHECK(runs <= 1);
@@ -65,7 +65,7 @@
     it.join();
   int unknown = 0;
   for (int i = 0; i < 6; ++i) {
-    checkHonest(fleet, "kill" + std::to_string(i), replies[i]);
+    checkOutcome(fleet, "kill" + std::to_string(i), replies[i]);
     unknown += replies[i].problem("run") == "unknown";
   }
   CHECK(unknown >= 3);
@@ -93,7 +93,7 @@
   fleet.process("n2").signal(SIGCONT);
   pauseFor(1'500);
   for (int i = 0; i < 6; ++i)
-    checkHonest(fleet, "pause" + std::to_string(i), replies[i]);
+    checkOutcome(fleet, "pause" + std::to_string(i), replies[i]);
 }
 
 TEST_CASE("connections that go silent cost no request", "[silent]") {
@@ -107,7 +107,7 @@
     std::string tag = "silent" + std::to_string(i);
     HttpReply reply = fleet.call("n1", taggedWork(tag), 4'000);
     CHECK(reply.Status == 200);
-    checkHonest(fleet, tag, reply);
+    checkOutcome(fleet, tag, reply);
   }
 }
 
@@ -128,7 +128,7 @@
     fleet.controlRelay("n2", {{direction, false}});
     pauseFor(1'000);
     for (int i = 0; i < 4; ++i)
-      checkHonest(fleet, direction + std::to_string(i), replies[i]);
+      checkOutcome(fleet, direction + std::to_string(i), replies[i]);
   }
 }
 
@@ -224,7 +224,7 @@
   for (int i = 0; i < 6; ++i) {
     std::string tag = "paused" + std::to_string(i);
     HttpReply reply = fleet.call(nodes[std::size_t(i) % 2], keyed(tag, tag));
-    checkHonest(fleet, tag, reply);
+    checkOutcome(fleet, tag, reply);
   }
   fleet.process("n2").signal(SIGCONT);
   for (int i = 0; i < 6; ++i) {
