--- a/tests/process/test_path.cpp
+++ b/tests/process/test_path.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Three nodes; the last has no endpoint of its own.
-void startPath(TestFleet &fleet) {
+void startFleet(TestFleet &fleet) {
   fleet.startLog();
   for (const char *node : {"n1", "n2", "n3"})
     fleet.startNode(node);
@@ -37,7 +37,7 @@
 TEST_CASE("each of many callers gets the whole answer to its own request",
           "[path]") {
   TestFleet fleet;
-  startPath(fleet);
+  startFleet(fleet);
   std::atomic<int> wrong{0};
   std::atomic<int> right{0};
   std::vector<std::jthread> callers;
@@ -66,7 +66,7 @@
 
 TEST_CASE("a caller that leaves frees the slot", "[path]") {
   TestFleet fleet;
-  startPath(fleet);
+  startFleet(fleet);
   for (int i = 0; i < 12; ++i)
     callOnce(fleet.node("n3").Http,
              {"GET", "/", {{"Host", "s.example"}, {"X-Work-Ms", "30000"}}, ""},
@@ -77,7 +77,7 @@
 
 TEST_CASE("wrong requests get a clear answer and harm nothing", "[input]") {
   TestFleet fleet;
-  startPath(fleet);
+  startFleet(fleet);
   const std::string &http = fleet.node("n1").Http;
   auto limit = std::chrono::milliseconds(700);
   CHECK(sendRaw(http, "NOT HTTP AT ALL\r\n\r\n", limit).find(" 400 ") !=
--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// n1 takes the callers; the endpoints are behind the other nodes.
-void startThree(TestFleet &fleet, bool hasRelays = false) {
+void startThreeNodes(TestFleet &fleet, bool hasRelays = false) {
   fleet.startLog();
   for (const char *node : {"n1", "n2", "n3"})
     fleet.startNode(node, hasRelays);
@@ -49,7 +49,7 @@
 TEST_CASE("a gate killed at work leaves the outcome unknown, never not_run",
           "[kill]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   std::vector<HttpReply> replies(6);
   std::vector<std::jthread> callers;
   for (int i = 0; i < 6; ++i)
@@ -74,7 +74,7 @@
 TEST_CASE("a gate that pauses between start and answer misleads nobody",
           "[pause]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   std::vector<HttpReply> replies(6);
   std::vector<std::jthread> callers;
   for (int i = 0; i < 6; ++i)
@@ -98,7 +98,7 @@
 
 TEST_CASE("connections that go silent cost no request", "[silent]") {
   TestFleet fleet;
-  startThree(fleet, true);
+  startThreeNodes(fleet, true);
   for (int i = 0; i < 6; ++i)
     REQUIRE(fleet.call("n1", {"GET", "/", {}, ""}).Status == 200);
   fleet.controlRelay("n2", {{"silence", true}});
@@ -113,7 +113,7 @@
 
 TEST_CASE("a link frozen in one direction leaves answers honest", "[one-way]") {
   TestFleet fleet;
-  startThree(fleet, true);
+  startThreeNodes(fleet, true);
   for (const char *direction : {"freeze_in", "freeze_out"}) {
     std::vector<HttpReply> replies(4);
     std::vector<std::jthread> callers;
@@ -156,7 +156,7 @@
 
 TEST_CASE("a resent key meets the first run through any entry", "[keys]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   HttpReply first = fleet.call("n1", keyed("k1", "key1"));
   REQUIRE(first.Status == 200);
   for (const char *node : {"n2", "n3", "n1"}) {
@@ -187,7 +187,7 @@
 
 TEST_CASE("keys survive the loss of any one keeper", "[keys]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   for (int i = 0; i < 8; ++i) {
     std::string id = std::to_string(i);
     REQUIRE(fleet.call("n1", keyed("lost" + id, "lost" + id)).Status == 200);
@@ -208,7 +208,7 @@
 
 TEST_CASE("keys stay honest with the log away and a keeper paused", "[keys]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   HttpReply first = fleet.call("n1", keyed("away", "away"));
   REQUIRE(first.Status == 200);
   fleet.controlLog({{"mode", "refuse"}});
@@ -236,7 +236,7 @@
 
 TEST_CASE("a rolling restart under load loses no request", "[restart]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   fleet.startEndpoint("e1", "n1");
   fleet.awaitReady();
   std::atomic<bool> isOver{false};
@@ -277,7 +277,7 @@
 TEST_CASE("a leaving endpoint gets no new work and finishes its own",
           "[drain]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   HttpReply slow;
   std::jthread caller(
       [&] { slow = fleet.call("n1", taggedWork("slow", 2'500), 6'000); });
@@ -302,7 +302,7 @@
 TEST_CASE("a truncated answer never reaches a caller as a whole one",
           "[answers]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   fleet.controlEndpoint("e2", {{"truncate", true}});
   fleet.controlEndpoint("e3", {{"truncate", true}});
   HttpReply reply = fleet.call("n1", taggedWork("cut"), 3'000);
@@ -318,7 +318,7 @@
 TEST_CASE("a late second copy of an answer reaches no other caller",
           "[answers]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   for (const char *name : {"e2", "e3"})
     fleet.controlEndpoint(name,
                           {{"second_copy_ms", 30}, {"repeats_id", false}});
@@ -339,7 +339,7 @@
 
 TEST_CASE("a stalled endpoint that answers probes is left out", "[stall]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   for (int i = 0; i < 20; ++i)
     REQUIRE(fleet.call("n1", {"GET", "/", {}, ""}).Status == 200);
   fleet.controlEndpoint("e2", {{"stall", true}});
