--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -23,8 +23,8 @@
   fleet.awaitReady();
 }
 
-HttpCall keyed(const std::string &key, const std::string &tag,
-               int workMs = 25) {
+HttpCall keyedWork(const std::string &key, const std::string &tag,
+                   int workMs = 25) {
   HttpCall call = taggedWork(tag, workMs);
   call.Headers.push_back({"Idempotency-Key", key});
   return call;
@@ -157,10 +157,10 @@
 TEST_CASE("a resent key meets the first run through any entry", "[keys]") {
   TestFleet fleet;
   startThreeNodes(fleet);
-  HttpReply first = fleet.call("n1", keyed("k1", "key1"));
+  HttpReply first = fleet.call("n1", keyedWork("k1", "key1"));
   REQUIRE(first.Status == 200);
   for (const char *node : {"n2", "n3", "n1"}) {
-    HttpReply again = fleet.call(node, keyed("k1", "key1"));
+    HttpReply again = fleet.call(node, keyedWork("k1", "key1"));
     CHECK(again.Status == 200);
     CHECK(again.Body == first.Body);
     CHECK(again.header("Idempotent-Replayed") == "true");
@@ -172,7 +172,7 @@
   for (int i = 0; i < 6; ++i)
     callers.emplace_back([&, i] {
       replies[i] = fleet.call("n" + std::to_string(1 + i % 3),
-                              keyed("k2", "key2", 300), 4'000);
+                              keyedWork("k2", "key2", 300), 4'000);
     });
   for (std::jthread &it : callers)
     it.join();
@@ -180,7 +180,7 @@
     CHECK(it.Status == 200);
   CHECK(fleet.runsOf("key2") == 1);
 
-  HttpCall other = keyed("k1", "key1");
+  HttpCall other = keyedWork("k1", "key1");
   other.Body = "something else";
   CHECK(fleet.call("n2", other).problem("kind") == "key_reused");
 }
@@ -190,7 +190,8 @@
   startThreeNodes(fleet);
   for (int i = 0; i < 8; ++i) {
     std::string id = std::to_string(i);
-    REQUIRE(fleet.call("n1", keyed("lost" + id, "lost" + id)).Status == 200);
+    REQUIRE(fleet.call("n1", keyedWork("lost" + id, "lost" + id)).Status ==
+            200);
   }
   fleet.process("n2").signal(SIGKILL);
   fleet.process("n2").wait();
@@ -199,7 +200,7 @@
       [&] { return fleet.status("n1")["keepers"].size() == 2; }, 60'000);
   for (int i = 0; i < 8; ++i) {
     std::string id = std::to_string(i);
-    HttpReply again = fleet.call("n3", keyed("lost" + id, "lost" + id));
+    HttpReply again = fleet.call("n3", keyedWork("lost" + id, "lost" + id));
     CHECK(again.Status == 200);
     CHECK(again.header("Idempotent-Replayed") == "true");
     CHECK(fleet.runsOf("lost" + id) <= 1);
@@ -209,27 +210,28 @@
 TEST_CASE("keys stay honest with the log away and a keeper paused", "[keys]") {
   TestFleet fleet;
   startThreeNodes(fleet);
-  HttpReply first = fleet.call("n1", keyed("away", "away"));
+  HttpReply first = fleet.call("n1", keyedWork("away", "away"));
   REQUIRE(first.Status == 200);
   fleet.controlLog({{"mode", "refuse"}});
   pauseFor(12'000);
-  HttpReply again = fleet.call("n2", keyed("away", "away"));
+  HttpReply again = fleet.call("n2", keyedWork("away", "away"));
   CHECK(again.Status == 200);
   CHECK(again.header("Idempotent-Replayed") == "true");
-  HttpReply fresh = fleet.call("n3", keyed("away2", "away2"));
+  HttpReply fresh = fleet.call("n3", keyedWork("away2", "away2"));
   CHECK(fresh.Status == 200);
   fleet.process("n2").signal(SIGSTOP);
   pauseFor(12'000);
   std::vector<std::string> nodes{"n1", "n3"};
   for (int i = 0; i < 6; ++i) {
     std::string tag = "paused" + std::to_string(i);
-    HttpReply reply = fleet.call(nodes[std::size_t(i) % 2], keyed(tag, tag));
+    HttpReply reply =
+        fleet.call(nodes[std::size_t(i) % 2], keyedWork(tag, tag));
     checkOutcome(fleet, tag, reply);
   }
   fleet.process("n2").signal(SIGCONT);
   for (int i = 0; i < 6; ++i) {
     std::string tag = "paused" + std::to_string(i);
-    fleet.call("n2", keyed(tag, tag));
+    fleet.call("n2", keyedWork(tag, tag));
     CHECK(fleet.runsOf(tag) <= 1);
   }
 }
@@ -252,7 +254,7 @@
         HttpReply reply;
         for (int hop = 0; hop < 3 && reply.Status == 0; ++hop)
           reply = fleet.call("n" + std::to_string(1 + (caller + i + hop) % 3),
-                             i % 2 ? keyed(tag, tag) : HttpCall{}, 8'000);
+                             i % 2 ? keyedWork(tag, tag) : HttpCall{}, 8'000);
         ++(reply.Status == 200 ? served : lost);
         if (reply.Status != 200)
           lastLoss = std::to_string(reply.Status) + " " + reply.Body;
