--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -42,7 +42,7 @@
     CHECK(runs == 1);
 }
 
-void pauseFor(int ms) { std::this_thread::sleep_for(milliseconds(ms)); }
+void sleepMs(int ms) { std::this_thread::sleep_for(milliseconds(ms)); }
 
 } // namespace
 
@@ -91,7 +91,7 @@
   for (std::jthread &it : callers)
     it.join();
   fleet.process("n2").signal(SIGCONT);
-  pauseFor(1'500);
+  sleepMs(1'500);
   for (int i = 0; i < 6; ++i)
     checkOutcome(fleet, "pause" + std::to_string(i), replies[i]);
 }
@@ -126,7 +126,7 @@
     for (std::jthread &it : callers)
       it.join();
     fleet.controlRelay("n2", {{direction, false}});
-    pauseFor(1'000);
+    sleepMs(1'000);
     for (int i = 0; i < 4; ++i)
       checkOutcome(fleet, direction + std::to_string(i), replies[i]);
   }
@@ -147,7 +147,7 @@
   HttpReply reply;
   std::jthread caller(
       [&] { reply = fleet.call("origin", taggedWork("third", 1'200), 4'000); });
-  pauseFor(300);
+  sleepMs(300);
   fleet.controlRelay("gate", {{"cut_node", "origin"}});
   caller.join();
   CHECK(reply.Status == 200);
@@ -213,14 +213,14 @@
   HttpReply first = fleet.call("n1", keyedWork("away", "away"));
   REQUIRE(first.Status == 200);
   fleet.controlLog({{"mode", "refuse"}});
-  pauseFor(12'000);
+  sleepMs(12'000);
   HttpReply again = fleet.call("n2", keyedWork("away", "away"));
   CHECK(again.Status == 200);
   CHECK(again.header("Idempotent-Replayed") == "true");
   HttpReply fresh = fleet.call("n3", keyedWork("away2", "away2"));
   CHECK(fresh.Status == 200);
   fleet.process("n2").signal(SIGSTOP);
-  pauseFor(12'000);
+  sleepMs(12'000);
   std::vector<std::string> nodes{"n1", "n3"};
   for (int i = 0; i < 6; ++i) {
     std::string tag = "paused" + std::to_string(i);
@@ -290,7 +290,7 @@
   bool isSecond = fleet.controlEndpoint("e2", json::object())["running"] == 1;
   std::string leaving = isSecond ? "e2" : "e3";
   fleet.controlEndpoint(leaving, {{"state", "draining"}});
-  pauseFor(2'000);
+  sleepMs(2'000);
   json before = fleet.controlEndpoint(leaving, json::object());
   for (int i = 0; i < 30; ++i)
     CHECK(fleet.call("n1", {"GET", "/", {}, ""}).Status == 200);
