--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -33,7 +33,7 @@
 /// What the caller was told agrees with what was run.
 void checkOutcome(TestFleet &fleet, const std::string &tag,
                   const HttpReply &reply) {
-  int runs = fleet.runsOf(tag);
+  int runs = fleet.countRuns(tag);
   INFO("tag " << tag << " status " << reply.Status << " " << reply.Body);
   CHECK(runs <= 1);
   if (reply.problem("run") == "not_run")
@@ -151,7 +151,7 @@
   fleet.controlRelay("gate", {{"cut_node", "origin"}});
   caller.join();
   CHECK(reply.Status == 200);
-  CHECK(fleet.runsOf("third") == 1);
+  CHECK(fleet.countRuns("third") == 1);
 }
 
 TEST_CASE("a resent key meets the first run through any entry", "[keys]") {
@@ -165,7 +165,7 @@
     CHECK(again.Body == first.Body);
     CHECK(again.header("Idempotent-Replayed") == "true");
   }
-  CHECK(fleet.runsOf("key1") == 1);
+  CHECK(fleet.countRuns("key1") == 1);
 
   std::vector<HttpReply> replies(6);
   std::vector<std::jthread> callers;
@@ -178,7 +178,7 @@
     it.join();
   for (const HttpReply &it : replies)
     CHECK(it.Status == 200);
-  CHECK(fleet.runsOf("key2") == 1);
+  CHECK(fleet.countRuns("key2") == 1);
 
   HttpCall other = keyedWork("k1", "key1");
   other.Body = "something else";
@@ -203,7 +203,7 @@
     HttpReply again = fleet.call("n3", keyedWork("lost" + id, "lost" + id));
     CHECK(again.Status == 200);
     CHECK(again.header("Idempotent-Replayed") == "true");
-    CHECK(fleet.runsOf("lost" + id) <= 1);
+    CHECK(fleet.countRuns("lost" + id) <= 1);
   }
 }
 
@@ -232,7 +232,7 @@
   for (int i = 0; i < 6; ++i) {
     std::string tag = "paused" + std::to_string(i);
     fleet.call("n2", keyedWork(tag, tag));
-    CHECK(fleet.runsOf(tag) <= 1);
+    CHECK(fleet.countRuns(tag) <= 1);
   }
 }
 
@@ -273,7 +273,7 @@
   CHECK(lost == 0);
   CHECK(served > 100);
   for (int i = 0; i < next; ++i)
-    CHECK(fleet.runsOf("roll" + std::to_string(i)) <= 1);
+    CHECK(fleet.countRuns("roll" + std::to_string(i)) <= 1);
 }
 
 TEST_CASE("a leaving endpoint gets no new work and finishes its own",
@@ -298,7 +298,7 @@
   CHECK(before["started"] == after["started"]);
   caller.join();
   CHECK(slow.Status == 200);
-  CHECK(fleet.runsOf("slow") == 1);
+  CHECK(fleet.countRuns("slow") == 1);
 }
 
 TEST_CASE("a truncated answer never reaches a caller as a whole one",
@@ -310,7 +310,7 @@
   HttpReply reply = fleet.call("n1", taggedWork("cut"), 3'000);
   CHECK(reply.Status == 502);
   CHECK(reply.problem("run") == "unknown");
-  CHECK(fleet.runsOf("cut") == 1);
+  CHECK(fleet.countRuns("cut") == 1);
   fleet.controlEndpoint("e3", {{"truncate", false}});
   for (int i = 0; i < 10; ++i)
     CHECK(fleet.call("n1", {"GET", "/", {}, ""}, 4'000).Status == 200);
--- a/tests/process/testfleet.cpp
+++ b/tests/process/testfleet.cpp
@@ -158,7 +158,7 @@
   return reply.Status == 200 ? json::parse(reply.Body) : json::object();
 }
 
-int TestFleet::runsOf(const std::string &tag) {
+int TestFleet::countRuns(const std::string &tag) {
   int runs = 0;
   for (const auto &[name, address] : Endpoints) {
     json counts = controlEndpoint(name, json::object());
--- a/tests/process/testfleet.h
+++ b/tests/process/testfleet.h
@@ -61,7 +61,7 @@
   nlohmann::json settings(const std::string &node, const std::string &path);
 
   /// Runs of tagged work, added up over all endpoints that are alive.
-  int runsOf(const std::string &tag);
+  int countRuns(const std::string &tag);
 
   /// Waits until all nodes see each other, all endpoints and all keepers.
   void awaitReady();
