--- a/tests/process/test_path.cpp
+++ b/tests/process/test_path.cpp
@@ -22,7 +22,7 @@
   fleet.awaitReady();
 }
 
-std::string bodyOf(int caller, int i) {
+std::string makeBody(int caller, int i) {
   constexpr int Sizes[] = {0, 10, 5'000, 300'000, 8 * 1024 * 1024 - 100};
   std::string text = std::to_string(caller) + "/" + std::to_string(i) + ":";
   std::size_t n = std::size_t(Sizes[i % 5]);
@@ -44,16 +44,17 @@
   for (int caller = 0; caller < 8; ++caller)
     callers.emplace_back([&, caller] {
       for (int i = 0; i < 15; ++i) {
-        std::string body = bodyOf(caller, i);
+        std::string body = makeBody(caller, i);
         std::string id = std::to_string(caller * 100 + i);
         HttpCall call{"PUT", "/x", {{"X-Client-Id", id}}, body};
         HttpReply reply =
             fleet.call("n" + std::to_string(1 + i % 3), call, 20'000);
         std::size_t line = reply.Body.find('\n');
-        bool isOwn = reply.Status == 200 && reply.header("X-Echo-Id") == id &&
-                     line != std::string::npos &&
-                     reply.Body.compare(line + 1, std::string::npos, body) == 0;
-        ++(isOwn ? right : wrong);
+        bool isCorrect =
+            reply.Status == 200 && reply.header("X-Echo-Id") == id &&
+            line != std::string::npos &&
+            reply.Body.compare(line + 1, std::string::npos, body) == 0;
+        ++(isCorrect ? right : wrong);
       }
     });
   for (std::jthread &it : callers)
--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -287,8 +287,8 @@
     return fleet.controlEndpoint("e2", json::object())["running"] == 1 ||
            fleet.controlEndpoint("e3", json::object())["running"] == 1;
   });
-  bool isSecond = fleet.controlEndpoint("e2", json::object())["running"] == 1;
-  std::string leaving = isSecond ? "e2" : "e3";
+  bool isAtE2 = fleet.controlEndpoint("e2", json::object())["running"] == 1;
+  std::string leaving = isAtE2 ? "e2" : "e3";
   fleet.controlEndpoint(leaving, {{"state", "draining"}});
   sleepMs(2'000);
   json before = fleet.controlEndpoint(leaving, json::object());
