--- a/tests/process/childprocess.cpp
+++ b/tests/process/childprocess.cpp
@@ -11,14 +11,14 @@
 namespace hickoryglade::testing {
 
 ChildProcess::ChildProcess(const std::vector<std::string> &command,
-                           const std::string &errorFile) {
+                           const std::string &outputFile) {
   std::vector<char *> arguments;
   for (const std::string &it : command)
     arguments.push_back(const_cast<char *>(it.c_str()));
   arguments.push_back(nullptr);
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
-  posix_spawn_file_actions_addopen(&actions, 2, errorFile.c_str(),
+  posix_spawn_file_actions_addopen(&actions, 2, outputFile.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0644);
   posix_spawn_file_actions_adddup2(&actions, 2, 1);
   posix_spawn(&Id, arguments[0], &actions, nullptr, arguments.data(), environ);
--- a/tests/process/childprocess.h
+++ b/tests/process/childprocess.h
@@ -13,7 +13,7 @@
   ChildProcess() = default;
   /// Standard output and error go to the given file.
   ChildProcess(const std::vector<std::string> &command,
-               const std::string &errorFile);
+               const std::string &outputFile);
   ~ChildProcess();
   ChildProcess(ChildProcess &&other) noexcept;
   ChildProcess &operator=(ChildProcess &&other) noexcept;
