--- a/tests/process/childprocess.h
+++ b/tests/process/childprocess.h
@@ -6,12 +6,11 @@
 
 namespace hickoryglade::testing {
 
-/// A process that a test has started; ended by its id at the latest when the
-/// object goes.
+/// A child process of a test. The destructor kills it if it still runs.
 class ChildProcess {
 public:
   ChildProcess() = default;
-  /// Standard output and error go to the given file.
+  /// Appends standard output and standard error to the given file.
   ChildProcess(const std::vector<std::string> &command,
                const std::string &outputFile);
   ~ChildProcess();
@@ -21,7 +20,8 @@
   ChildProcess &operator=(const ChildProcess &) = delete;
 
   void signal(int number) const;
-  /// Waits for the end; gives the exit status, or minus the signal.
+  /// Waits for the process to exit. Returns its exit status, or the negated
+  /// number of the signal that terminated it.
   int wait();
   bool isRunning();
   pid_t id() const { return Id; }
--- a/tests/process/freeaddress.cpp
+++ b/tests/process/freeaddress.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Ports below those that the system gives to outgoing connections.
+/// The range ends below the system's ephemeral ports, so that outgoing
+/// connections do not occupy its ports.
 constexpr int LowestPort = 10'000;
 constexpr int PortRange = 20'000;
 bool isFree(int port) {
--- a/tests/process/freeaddress.h
+++ b/tests/process/freeaddress.h
@@ -4,7 +4,7 @@
 
 namespace hickoryglade::testing {
 
-/// Loopback addresses with ports that are free for TCP and UDP.
+/// Generates loopback addresses whose ports are free for TCP and UDP.
 class FreeAddresses {
 public:
   FreeAddresses();
--- a/tests/process/httpcall.h
+++ b/tests/process/httpcall.h
@@ -8,7 +8,7 @@
 
 namespace hickoryglade::testing {
 
-/// Answer to one HTTP call; status 0 if none came.
+/// Response to an HTTP call. The status is 0 if no response arrived.
 struct HttpReply {
   int Status = 0;
   std::vector<fleet::HttpHeader> Headers;
@@ -17,7 +17,8 @@
   std::string header(std::string_view name) const {
     return fleet::headerValue(Headers, name);
   }
-  /// A member of a problem answer; empty if there is none.
+  /// Returns a member of a problem+json body, or an empty string if the body
+  /// has no such member.
   std::string problem(const std::string &key) const;
 };
 
@@ -28,11 +29,12 @@
   std::string Body;
 };
 
-/// Makes one call on a connection of its own.
+/// Sends one request on a new connection and waits for the response.
 HttpReply callOnce(const std::string &address, const HttpCall &call,
                    std::chrono::milliseconds limit);
 
-/// Sends bytes and gives what comes back within a time.
+/// Sends raw bytes. Returns everything received until the peer closes the
+/// connection or the time limit expires.
 std::string sendRaw(const std::string &address, const std::string &bytes,
                     std::chrono::milliseconds limit);
 
--- a/tests/process/test_path.cpp
+++ b/tests/process/test_path.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Three nodes; the last has no endpoint of its own.
+/// Starts three nodes, of which n3 has no endpoint.
 void startFleet(TestFleet &fleet) {
   fleet.startLog();
   for (const char *node : {"n1", "n2", "n3"})
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("each of many callers gets the whole answer to its own request",
+TEST_CASE("concurrent callers get complete responses to their own requests",
           "[path]") {
   TestFleet fleet;
   startFleet(fleet);
@@ -65,7 +65,7 @@
   CHECK(counts["overruns"] == 0);
 }
 
-TEST_CASE("a caller that leaves frees the slot", "[path]") {
+TEST_CASE("a slot is released when its caller disconnects", "[path]") {
   TestFleet fleet;
   startFleet(fleet);
   for (int i = 0; i < 12; ++i)
@@ -76,7 +76,8 @@
   CHECK(reply.Status == 200);
 }
 
-TEST_CASE("wrong requests get a clear answer and harm nothing", "[input]") {
+TEST_CASE("malformed input is rejected and does not affect later requests",
+          "[input]") {
   TestFleet fleet;
   startFleet(fleet);
   const std::string &http = fleet.node("n1").Http;
@@ -128,7 +129,7 @@
   }
 }
 
-TEST_CASE("settings files are checked in full before anything starts",
+TEST_CASE("the daemon exits with status 2 if it has no settings file",
           "[input]") {
   TestFleet fleet;
   std::string daemon =
--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// n1 takes the callers; the endpoints are behind the other nodes.
+/// Starts three nodes. Only n2 and n3 have endpoints, so that requests sent to
+/// n1 are forwarded.
 void startThreeNodes(TestFleet &fleet, bool hasRelays = false) {
   fleet.startLog();
   for (const char *node : {"n1", "n2", "n3"})
@@ -30,7 +31,7 @@
   return call;
 }
 
-/// What the caller was told agrees with what was run.
+/// Checks that the outcome reported to the caller matches the number of runs.
 void checkOutcome(TestFleet &fleet, const std::string &tag,
                   const HttpReply &reply) {
   int runs = fleet.countRuns(tag);
@@ -46,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("a gate killed at work leaves the outcome unknown, never not_run",
+TEST_CASE("requests running at a killed gate are reported as unknown",
           "[kill]") {
   TestFleet fleet;
   startThreeNodes(fleet);
@@ -71,7 +72,7 @@
   CHECK(unknown >= 3);
 }
 
-TEST_CASE("a gate that pauses between start and answer misleads nobody",
+TEST_CASE("outcomes are correct after a gate was paused while work ran",
           "[pause]") {
   TestFleet fleet;
   startThreeNodes(fleet);
@@ -96,7 +97,7 @@
     checkOutcome(fleet, "pause" + std::to_string(i), replies[i]);
 }
 
-TEST_CASE("connections that go silent cost no request", "[silent]") {
+TEST_CASE("requests succeed when open connections go silent", "[silent]") {
   TestFleet fleet;
   startThreeNodes(fleet, true);
   for (int i = 0; i < 6; ++i)
@@ -111,7 +112,8 @@
   }
 }
 
-TEST_CASE("a link frozen in one direction leaves answers honest", "[one-way]") {
+TEST_CASE("outcomes are correct while a link is frozen in one direction",
+          "[one-way]") {
   TestFleet fleet;
   startThreeNodes(fleet, true);
   for (const char *direction : {"freeze_in", "freeze_out"}) {
@@ -132,7 +134,7 @@
   }
 }
 
-TEST_CASE("work cut off from its entry is answered through a third node",
+TEST_CASE("an answer reaches a disconnected entry through a third node",
           "[third]") {
   TestFleet fleet;
   fleet.startLog();
@@ -154,7 +156,8 @@
   CHECK(fleet.countRuns("third") == 1);
 }
 
-TEST_CASE("a resent key meets the first run through any entry", "[keys]") {
+TEST_CASE("a repeated key gets the answer of its first run at any entry",
+          "[keys]") {
   TestFleet fleet;
   startThreeNodes(fleet);
   HttpReply first = fleet.call("n1", keyedWork("k1", "key1"));
@@ -185,7 +188,7 @@
   CHECK(fleet.call("n2", other).problem("kind") == "key_reused");
 }
 
-TEST_CASE("keys survive the loss of any one keeper", "[keys]") {
+TEST_CASE("keys survive the loss of a keeper", "[keys]") {
   TestFleet fleet;
   startThreeNodes(fleet);
   for (int i = 0; i < 8; ++i) {
@@ -196,7 +199,7 @@
   fleet.process("n2").signal(SIGKILL);
   fleet.process("n2").wait();
   fleet.await(
-      "the dead keeper evicted",
+      "eviction of the killed keeper",
       [&] { return fleet.status("n1")["keepers"].size() == 2; }, 60'000);
   for (int i = 0; i < 8; ++i) {
     std::string id = std::to_string(i);
@@ -207,7 +210,8 @@
   }
 }
 
-TEST_CASE("keys stay honest with the log away and a keeper paused", "[keys]") {
+TEST_CASE("no key runs twice while the log is down and a keeper paused",
+          "[keys]") {
   TestFleet fleet;
   startThreeNodes(fleet);
   HttpReply first = fleet.call("n1", keyedWork("away", "away"));
@@ -276,7 +280,7 @@
     CHECK(fleet.countRuns("roll" + std::to_string(i)) <= 1);
 }
 
-TEST_CASE("a leaving endpoint gets no new work and finishes its own",
+TEST_CASE("a draining endpoint gets no new work and finishes its requests",
           "[drain]") {
   TestFleet fleet;
   startThreeNodes(fleet);
@@ -301,7 +305,7 @@
   CHECK(fleet.countRuns("slow") == 1);
 }
 
-TEST_CASE("a truncated answer never reaches a caller as a whole one",
+TEST_CASE("a truncated response is reported to the caller as an error",
           "[answers]") {
   TestFleet fleet;
   startThreeNodes(fleet);
@@ -316,8 +320,9 @@
     CHECK(fleet.call("n1", {"GET", "/", {}, ""}, 4'000).Status == 200);
 }
 
-// The copy comes while the next request runs on the same connection.
-TEST_CASE("a late second copy of an answer reaches no other caller",
+// The duplicate arrives while the next request runs on the same connection and
+// must not be taken for the response to that request.
+TEST_CASE("a late duplicate of a response reaches no other caller",
           "[answers]") {
   TestFleet fleet;
   startThreeNodes(fleet);
@@ -339,7 +344,8 @@
     CHECK(answersOwn(i));
 }
 
-TEST_CASE("a stalled endpoint that answers probes is left out", "[stall]") {
+TEST_CASE("a stalled endpoint that passes health probes is ejected",
+          "[stall]") {
   TestFleet fleet;
   startThreeNodes(fleet);
   for (int i = 0; i < 20; ++i)
@@ -354,13 +360,13 @@
   for (std::jthread &it : callers)
     it.join();
   CHECK(served == 6);
-  fleet.await("the endpoint ejected", [&] {
+  fleet.await("ejection of the stalled endpoint", [&] {
     json report = fleet.status("n1");
     return report["ejections"].size() == 1;
   });
   fleet.controlEndpoint("e2", {{"stall", false}});
   fleet.await(
-      "the endpoint readmitted",
+      "readmission of the endpoint",
       [&] {
         fleet.call("n1", {"GET", "/", {}, ""});
         json report = fleet.status("n1");
@@ -373,7 +379,8 @@
       60'000);
 }
 
-TEST_CASE("a poison request takes two endpoints at the most", "[poison]") {
+TEST_CASE("a request that crashes endpoints is stopped after two crashes",
+          "[poison]") {
   TestFleet fleet;
   fleet.startLog();
   for (const char *node : {"n1", "n2", "n3"})
--- a/tests/process/test_settings.cpp
+++ b/tests/process/test_settings.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("of two operators at once one wins, the other is told",
+TEST_CASE("of two concurrent changes one is accepted, the other gets 409",
           "[settings]") {
   TestFleet fleet;
   startNodes(fleet);
@@ -55,7 +55,8 @@
   }
 }
 
-TEST_CASE("a change whose append reply was lost counts once", "[settings]") {
+TEST_CASE("a change is applied once if the reply to its append is lost",
+          "[settings]") {
   TestFleet fleet;
   startNodes(fleet);
   std::int64_t base = fleet.settings("n1", "/w/s")["revision"];
@@ -70,7 +71,7 @@
   CHECK(again.problem("revision") == reply.problem("revision"));
 }
 
-TEST_CASE("with the log away a new node takes the settings from peers",
+TEST_CASE("a restarted node gets settings from peers while the log is down",
           "[settings]") {
   TestFleet fleet;
   startNodes(fleet);
@@ -80,7 +81,7 @@
   fleet.process("n3").signal(SIGKILL);
   fleet.process("n3").wait();
   fleet.startNode("n3");
-  fleet.await("the new node serves", [&] {
+  fleet.await("a response from the restarted node", [&] {
     return fleet.call("n3", {"GET", "/", {}, ""}, 1'000).Status == 200;
   });
   CHECK(floorAt(fleet, "n3") == 6);
@@ -91,7 +92,8 @@
   awaitFloor(fleet, 8);
 }
 
-TEST_CASE("values outlive the records that the log forgets", "[settings]") {
+TEST_CASE("values remain in force after the log expires their records",
+          "[settings]") {
   TestFleet fleet;
   startNodes(fleet);
   fleet.publish("/w/s", {{"floor", 5}});
@@ -105,7 +107,7 @@
   for (const char *node : {"n1", "n2", "n3"})
     fleet.startNode(node);
   awaitFloor(fleet, 5);
-  fleet.await("served again", [&] {
+  fleet.await("a response after the restart", [&] {
     return fleet.call("n2", {"GET", "/", {}, ""}, 1'000).Status == 200;
   });
 }
--- a/tests/process/testfleet.cpp
+++ b/tests/process/testfleet.cpp
@@ -18,10 +18,11 @@
 constexpr milliseconds AskLimit{3'000};
 constexpr milliseconds PollPeriod{20};
 
-/// Fails the test, or ends the benchmark.
+/// Throws if a condition does not hold, which fails the test or ends the
+/// benchmark.
 void require(bool holds, const std::string &what) {
   if (!holds)
-    throw std::runtime_error("not so: " + what);
+    throw std::runtime_error("test fleet: " + what);
 }
 
 std::string program(const std::string &name) {
@@ -111,11 +112,11 @@
   std::string id = "change-" + std::to_string(++changes);
   std::int64_t base = settings(node, path).value("revision", 0);
   HttpReply reply = tryPublish(node, path, value, base, id);
-  require(reply.Status == 200, "published: " + reply.Body);
+  require(reply.Status == 200, "settings not published: " + reply.Body);
 }
 
 void TestFleet::publishDefaults(const json &service) {
-  await("a node that answers",
+  await("a node to respond",
         [&] { return !status(Nodes.begin()->first).is_null(); });
   publish("/w/s", service);
   publish("/w/s/all", {{"host", "s.example"}});
@@ -130,13 +131,13 @@
 void TestFleet::controlLog(const json &change) {
   HttpReply reply =
       callOnce(Log, {"POST", "/control", {}, change.dump()}, AskLimit);
-  require(reply.Status == 200, "stand-in controlled");
+  require(reply.Status == 200, "stand-in did not accept the change");
 }
 
 void TestFleet::controlRelay(const std::string &node, const json &change) {
   HttpReply reply = callOnce(Nodes.at(node).RelayControl,
                              {"POST", "/control", {}, change.dump()}, AskLimit);
-  require(reply.Status == 200, "stand-in controlled");
+  require(reply.Status == 200, "stand-in did not accept the change");
 }
 
 HttpReply TestFleet::call(const std::string &node, HttpCall call,
@@ -185,14 +186,15 @@
            settings(name, "/w/s/all").value("revision", 0) > 0;
   };
   for (const auto &[name, addresses] : Nodes)
-    await("node " + name + " ready", [&] { return isReady(name); });
+    await("node " + name + " to be ready", [&] { return isReady(name); });
 }
 
 void TestFleet::await(const std::string &what, std::function<bool()> condition,
                       int limitMs) {
   auto until = std::chrono::steady_clock::now() + milliseconds(limitMs);
   while (!condition()) {
-    require(std::chrono::steady_clock::now() < until, "awaited: " + what);
+    require(std::chrono::steady_clock::now() < until,
+            "timed out waiting for " + what);
     std::this_thread::sleep_for(PollPeriod);
   }
 }
--- a/tests/process/testfleet.h
+++ b/tests/process/testfleet.h
@@ -12,7 +12,8 @@
 
 namespace hickoryglade::testing {
 
-/// A local fleet of real processes with stand-ins around it.
+/// Runs a local fleet: node processes, with stand-ins for the log service, the
+/// endpoints and, as relays, the network.
 class TestFleet {
 public:
   TestFleet();
@@ -22,12 +23,12 @@
     std::string Http;
     std::string Fleet;
     std::string Admin;
-    /// Where others reach the node: a relay's address if it has one.
+    /// Address that other nodes connect to: the relay's, if the node has one.
     std::string Advertised;
     std::string RelayControl;
   };
 
-  /// Level of the logs of nodes that are started from now on.
+  /// Sets the log level of nodes that are started later.
   void setLogLevel(const std::string &level) { LogLevel = level; }
 
   void startLog();
@@ -42,15 +43,16 @@
     return Endpoints.at(name);
   }
 
-  /// Publishes a value and requires that it is accepted.
+  /// Publishes a value; throws if it is not accepted.
   void publish(const std::string &path, const nlohmann::json &value);
   HttpReply tryPublish(const std::string &node, const std::string &path,
                        const nlohmann::json &value, std::int64_t base,
                        const std::string &id);
-  /// The usual tree: service "w/s" at host "s.example".
+  /// Publishes the default settings: service "w/s" with a route for host
+  /// "s.example".
   void publishDefaults(const nlohmann::json &service = {{"floor", 1}});
 
-  /// What a stand-in counts, after it has taken a change of behaviour.
+  /// Changes the behaviour of a stand-in and returns its counters.
   nlohmann::json controlEndpoint(const std::string &name,
                                  const nlohmann::json &change);
   void controlLog(const nlohmann::json &change);
@@ -60,13 +62,15 @@
   nlohmann::json status(const std::string &node);
   nlohmann::json settings(const std::string &node, const std::string &path);
 
-  /// Runs of tagged work, added up over all endpoints that are alive.
+  /// Returns how often work with this tag was started, summed over all
+  /// endpoints that respond.
   int countRuns(const std::string &tag);
 
-  /// Waits until all nodes see each other, all endpoints and all keepers.
+  /// Waits until every node reports all members, endpoints and keepers and has
+  /// the settings of the default route.
   void awaitReady();
 
-  /// Waits for a condition; fails the test if it does not come about.
+  /// Waits for a condition; throws if it does not hold within the limit.
   static void await(const std::string &what, std::function<bool()> condition,
                     int limitMs = 20'000);
 
@@ -82,7 +86,8 @@
   std::string LogLevel = "info";
 };
 
-/// A POST of non-idempotent work that is counted under a tag.
+/// Returns a POST request, which is not idempotent, whose runs the endpoints
+/// count by tag.
 HttpCall taggedWork(const std::string &tag, int workMs = 25);
 
 } // namespace hickoryglade::testing
