--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -24,7 +24,7 @@
   /// Work never ends while set; probes are answered.
   bool Stall = false;
   /// Alternates between well and stalled with this period.
-  int FlapPeriodMs = 0;
+  int FlapIntervalMs = 0;
   /// The first requests take longer by this much.
   int ColdStartMs = 0;
   int ColdStartRequests = 0;
@@ -120,8 +120,8 @@
   }
 
   bool isStalled() const {
-    if (Active.FlapPeriodMs > 0) {
-      auto phase = now().time_since_epoch() / Millis(Active.FlapPeriodMs);
+    if (Active.FlapIntervalMs > 0) {
+      auto phase = now().time_since_epoch() / Millis(Active.FlapIntervalMs);
       return phase % 2 == 1;
     }
     return Active.Stall;
@@ -205,7 +205,7 @@
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
       Active.Stall = in.value("stall", Active.Stall);
-      Active.FlapPeriodMs = in.value("flap_ms", Active.FlapPeriodMs);
+      Active.FlapIntervalMs = in.value("flap_ms", Active.FlapIntervalMs);
       Active.ColdStartMs = in.value("cold_ms", Active.ColdStartMs);
       Active.ColdStartRequests =
           in.value("cold_requests", Active.ColdStartRequests);
