--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("requests running at a killed gate are reported as unknown",
+TEST_CASE("requests at a killed gate are reported as unknown, never not_run",
           "[kill]") {
   TestFleet fleet;
   startThreeNodes(fleet);
--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -8,8 +8,9 @@
 #include <map>
 #include <unistd.h>
 
-/// Stand-in for an endpoint: announces itself, runs work for the time that a
-/// request asks for, and fails in the ways that POST /_control switches on.
+/// Simulates an endpoint: announces itself to a node, works on a request for as
+/// long as its X-Work-Ms header says, and injects the faults that POST
+/// /_control enables.
 
 namespace hickoryglade::standins {
 
@@ -21,24 +22,24 @@
 constexpr Millis Step{2};
 
 struct Behaviour {
-  /// Work never ends while set; probes are answered.
+  /// Requests do not complete while this is set; health probes still succeed.
   bool Stall = false;
-  /// Alternates between well and stalled with this period.
+  /// Operates normally and stalls in turn, for this time each; 0 disables it.
   int FlapIntervalMs = 0;
-  /// The first requests take longer by this much.
+  /// Extra time for each of the first ColdStartRequests requests.
   int ColdStartMs = 0;
   int ColdStartRequests = 0;
-  /// Reports no load whatever runs.
+  /// Reports a load of 0, however many requests run.
   bool ReportsZeroLoad = false;
-  /// Breaks off answers in the middle.
+  /// Sends about half of each response body and closes the connection.
   bool Truncate = false;
-  /// Sends each answer once more after this time, if it is above 0.
+  /// Sends a duplicate of each response after this delay; 0 disables it.
   int DuplicateDelayMs = 0;
-  /// Repeats the id of the request in its answer.
+  /// Copies the Request-Id header of the request into the response.
   bool EchoesRequestId = true;
-  /// Answers only after this extra time.
+  /// Delay between the end of the work and the response.
   int ExtraDelayMs = 0;
-  /// Ignores connections that were open when this was set.
+  /// Stops responding on connections that were open when this was set.
   bool SilentConnections = false;
   bool Shed = false;
   bool Announce = true;
--- a/tests/standins/logstandin.cpp
+++ b/tests/standins/logstandin.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 #include <map>
 
-/// Stand-in for the platform's log service, with faults that POST /control
-/// switches on and off.
+/// Simulates the platform's log service and injects the faults that POST
+/// /control enables.
 
 namespace hickoryglade::standins {
 
@@ -36,14 +36,14 @@
 };
 
 struct Faults {
-  /// ok, refuse, or hang.
+  /// One of ok, refuse and hang.
   std::string Mode = "ok";
   int SlowMs = 0;
-  /// Appends still to be made whose reply is lost.
+  /// Number of coming appends that are stored but get no reply.
   int LoseReplies = 0;
   std::size_t RetainedRecords = 0;
   int RetentionMs = 0;
-  /// Appends a second above which 429 is answered; 0 for no limit.
+  /// Further appends within a second get status 429; 0 for no limit.
   int MaxAppendsPerSecond = 0;
 };
 
--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -9,11 +9,12 @@
 #include <iostream>
 #include <list>
 
-/// Stands between two processes on TCP and UDP and delays, freezes or closes
-/// what passes, each direction apart, as POST /control on another address
-/// says: {"delay_ms", "freeze_in", "freeze_out", "silence", "close",
-/// "cut_node"}. A cut node's connections, which are known by its name in their
-/// first bytes, go silent, and so do those that it opens later.
+/// Relays TCP and UDP between two processes. POST /control on a separate
+/// address delays or freezes the traffic, or closes the connections. Its fields
+/// are "delay_ms", "freeze_in", "freeze_out", "silence", "close" and
+/// "cut_node". The connections of a cut node go silent, including those that it
+/// opens later. The relay recognises them by the node's name in their first
+/// bytes.
 
 namespace hickoryglade::standins {
 
@@ -27,23 +28,24 @@
 
 struct Faults {
   int DelayMs = 0;
-  /// Towards the process behind the relay.
+  /// Holds back traffic towards the process behind the relay.
   bool FreezeIn = false;
-  /// From the process behind the relay.
+  /// Holds back traffic from the process behind the relay.
   bool FreezeOut = false;
   std::string CutNode;
 };
 
-/// One relayed connection.
+/// The two sockets of one relayed connection.
 struct ConnectionPair {
   explicit ConnectionPair(tcp::socket client)
       : Client(std::move(client)), Server(Client.get_executor()) {}
 
   tcp::socket Client;
   tcp::socket Server;
-  /// Frozen for good, as if something between the ends had lost track.
+  /// Forwards nothing any more but stays open, as after a NAT or firewall has
+  /// lost the state of the connection.
   bool IsSilent = false;
-  /// What the client has sent first.
+  /// First bytes that the client has sent.
   std::string FirstBytes;
 
   void close() {
@@ -124,7 +126,7 @@
     pair.IsSilent = pair.IsSilent || isCut;
   }
 
-  /// Passes bytes one way, in order, each piece after the delay.
+  /// Forwards bytes in one direction and in order, each read after the delay.
   asio::awaitable<void> forwardStream(std::shared_ptr<ConnectionPair> pair,
                                       tcp::socket &from, tcp::socket &to,
                                       const bool &isFrozen) {
@@ -177,7 +179,7 @@
 tcp::endpoint endpointOf(const std::string &address) {
   auto parsed = parseAddress(address);
   if (!parsed) {
-    std::cerr << "not an address: " << address << "\n";
+    std::cerr << "invalid address: " << address << "\n";
     std::exit(2);
   }
   return {asio::ip::make_address(parsed->Ip), parsed->Port};
--- a/tests/standins/standinserver.cpp
+++ b/tests/standins/standinserver.cpp
@@ -92,7 +92,7 @@
 tcp::endpoint toEndpoint(const std::string &address) {
   auto parsed = parseAddress(address);
   if (!parsed) {
-    std::cerr << "not an address: " << address << "\n";
+    std::cerr << "invalid address: " << address << "\n";
     std::exit(2);
   }
   return {asio::ip::make_address(parsed->Ip), parsed->Port};
--- a/tests/standins/standinserver.h
+++ b/tests/standins/standinserver.h
@@ -10,13 +10,14 @@
 
 namespace hickoryglade::standins {
 
-/// A connection that a stand-in may answer on with any bytes, or none.
+/// A connection on which a stand-in can send arbitrary bytes, also bytes that
+/// are not valid HTTP.
 class RawConnection {
 public:
   virtual ~RawConnection() = default;
   virtual fleet::asio::awaitable<void> write(std::string bytes) = 0;
   virtual void close() = 0;
-  /// True once the other end has closed the connection.
+  /// Returns true once the peer has closed the connection.
   virtual bool isClosedByPeer() = 0;
 };
 
@@ -28,11 +29,11 @@
 void serveHttp(fleet::asio::io_context &io, const std::string &address,
                RawHandler handler);
 
-/// Bytes of a whole answer.
+/// Returns the bytes of a complete response.
 std::string answerBytes(int status, const std::string &body,
                         const std::string &headers = {});
 
-/// One HTTP call; status 0 if it failed.
+/// Response to an HTTP call. The status is 0 if the call failed.
 struct CallResult {
   int Status = 0;
   std::string Body;
@@ -44,7 +45,7 @@
 
 fleet::asio::awaitable<void> sleepFor(Millis time);
 
-/// Value of "--name VALUE" on the command line, or a default.
+/// Returns the value of "--name VALUE" on the command line, or the fallback.
 std::string optionValue(int argc, char **argv, const std::string &name,
                         const std::string &fallback);
 
