--- a/protocol/fleet.thrift
+++ b/protocol/fleet.thrift
@@ -1,5 +1,5 @@
-// Messages between the processes of one fleet. Each frame on the wire is a
-// 4-byte big-endian length followed by one Frame in the compact protocol.
+// Messages between the nodes of a fleet. On the wire, each frame is a 4-byte
+// big-endian length followed by one Frame in the Thrift compact protocol.
 namespace cpp hickoryglade.wire
 
 struct Header {
@@ -7,7 +7,7 @@
   2: string value
 }
 
-// First frame in each direction of a link.
+// The first frame in each direction of a link.
 struct Hello {
   1: string node
   2: i64 bootId
@@ -15,51 +15,51 @@
   4: i32 protocolVersion
 }
 
-// Keeps a link with streams in flight verified in both directions.
+// Verifies in both directions that a link with open streams still works.
 struct Heartbeat {
   1: i64 sequence
   2: bool reply
 }
 
-// Facts about a request that a gate needs before it sees the body.
+// Properties of a request that a gate needs before the body is sent.
 struct Ticket {
   1: string attemptId
   2: string workspace
   3: string serviceName
   4: i64 gateBootId
   5: i64 timeoutMs
-  // Time on the sender's clock since the link's hello; a receiver that sees
-  // it lag behind its own knows that the link was frozen.
+  // Time on the sender's clock since the Hello of the link. If it lags
+  // behind the receiver's own value, the link was frozen.
   6: i64 linkAgeMs
   7: i64 expectedCostUs
   8: bool isLong
   9: bool isIdempotent
   10: i64 fingerprint
   12: bool awaitsClaim
-  // Endpoints that this very request has crashed on its way here.
+  // Number of endpoints that earlier attempts of this request have crashed.
   13: i32 knownCrashes
-  // The request is not to wait for a slot.
+  // The gate must refuse the request if no slot is free, and not queue it.
   14: bool onlyIfFree
-  // An endpoint has seen the request before: the gate's budget of repeats
-  // decides whether it may see it again.
+  // An earlier attempt has reached an endpoint, so the gate's budget for
+  // repeated requests decides whether this one is admitted.
   15: bool isRepeat
-  // The entry knows that the gate's endpoint is doubtful or on trial.
+  // The entry chose the gate knowing that its endpoint is doubtful or on trial.
   16: bool acceptsDoubtful
-  // Rank among requests that compete for a slot; 0 goes first.
+  // Priority among requests that compete for a slot; 0 is the highest.
   17: i32 priority
-  // Sent to the one gate at which all copies of suspect content meet.
+  // The request has suspect content and was sent to the one gate where all
+  // requests with this content run one at a time.
   18: bool isSerialized
-  // Sent to a doubtful endpoint because those in good standing have no slot
-  // free.
+  // Sent to a doubtful endpoint because no healthy one has a free slot.
   19: bool isSpill
-  // Time left in which an answer has its full value to the caller; 0 if the
-  // sender does not say.
+  // Time left until the answer loses value for the caller; 0 if the sender
+  // gives none.
   20: i64 targetMs
-  // No other endpoint may be tried after this one.
+  // The request may not be retried at another endpoint after this attempt.
   21: bool isLastTry
-  // Longest wait for a slot; 0 if only the gate's own rules bound it.
+  // Maximum wait for a slot; 0 if only the gate's own limits apply.
   22: i64 maxWaitMs
-  // Other gates have refused it because of silent endpoints.
+  // Other gates have refused the request because their endpoints are silent.
   23: bool acceptsSilent
 }
 
@@ -67,7 +67,8 @@
   1: string endpoint
 }
 
-// The request itself; opens a stream, or claims the slot that a grant holds.
+// The request itself. It opens a stream, or claims the slot that a Grant
+// reserved.
 struct Call {
   1: Ticket ticket
   2: string method
@@ -80,13 +81,13 @@
   1: binary bytes
 }
 
-// What the gate knows first hand about a service at the time of a reply.
+// The gate's own load figures for a service at the time of a reply.
 struct Load {
   1: i32 freeSlots
   2: i32 queued
   3: i32 slots
-  // Best standing of the gate's endpoints of the service, plus one; 0 if the
-  // sender does not say.
+  // Best standing among the gate's endpoints of the service, plus one; 0 if
+  // the sender gives none.
   4: i32 standing
 }
 
@@ -96,7 +97,7 @@
   3: i64 bodyBytes
   4: string endpoint
   5: Load load
-  // Time that the endpoint took.
+  // Time that the endpoint took to respond.
   6: i64 runUs
 }
 
@@ -107,29 +108,30 @@
   4: i64 retryAfterMs
   5: Load load
   6: string endpoint
-  // The endpoint's process was found gone.
+  // The endpoint's process was found to have exited.
   7: bool isCrash
-  // The request's bytes have reached an endpoint.
+  // Bytes of the request were sent to an endpoint.
   8: bool hasReached
 }
 
 struct Cancel {}
 
-// The sender will not try the request elsewhere any more: it is stopping.
+// The sender is stopping and will not retry the request at another gate.
 struct Keep {}
 
-// Asks what became of a request, and fences it if it has not started.
+// Queries the state of an attempt and fences it if it has not started.
 struct Revoke {
   1: string attemptId
   2: i64 gateBootId
   3: i64 timeoutMs
-  // Node that is to be asked by the receiver; none if the receiver itself is.
+  // Node to which the receiver forwards the query; empty if the receiver
+  // answers it itself.
   4: string askedNode
 }
 
 struct Revoked {
   1: i32 state
-  // The receiver could not reach the node that it was to ask.
+  // The receiver could not reach the node askedNode.
   2: bool isUnreachable
 }
 
@@ -150,7 +152,7 @@
   6: i64 lifetimeMs
 }
 
-// A question to the keeper of an idempotency key.
+// A request to the keeper of an idempotency key.
 struct KeyRequest {
   1: KeyOperation operation
   2: KeyRecord record
@@ -172,13 +174,14 @@
   6: i32 state
 }
 
-// A start of an endpoint that has left or is leaving.
+// An endpoint that has left or is leaving, identified by name and start time.
 struct DepartedRecord {
   1: string name
   2: i64 startedAtMs
 }
 
-// One node as it describes itself; a higher (bootId, version) replaces a lower.
+// A node's description of itself. The record with the higher (bootId, version)
+// replaces the other.
 struct MemberRecord {
   1: string node
   2: i64 bootId
@@ -195,18 +198,18 @@
 
 struct QuarantineRecord {
   1: i64 fingerprint
-  // Crashes that each node has seen.
+  // Number of crashes that each node has observed.
   2: map<string, i32> crashes
   3: i64 remainingMs
 }
 
-// What the sender believes of a member; states as in MemberState.
+// The state that the sender assumes for a member, a value of MemberState.
 struct MemberUpdate {
   1: MemberRecord record
   2: i32 state
 }
 
-// Passing standings of a node's endpoints; those not named are healthy.
+// Current standings of a node's endpoints. Endpoints not listed are healthy.
 struct StandingReport {
   1: string node
   2: i64 bootId
@@ -216,7 +219,7 @@
 
 enum GossipKind { PING = 0, ACK = 1, PING_REQUEST = 2, SYNC = 3, UPDATES = 4 }
 
-// Datagram of the membership protocol.
+// A datagram of the membership protocol.
 struct Gossip {
   1: GossipKind kind
   2: string sender
@@ -225,13 +228,13 @@
   // Member to probe (PING_REQUEST) or that has answered (ACK).
   5: string target
   6: list<MemberUpdate> updates
-  // Hashes of the sender's records by bucket (SYNC).
+  // Hashes of the sender's records, one for each bucket (SYNC).
   7: list<i64> buckets
   8: list<QuarantineRecord> quarantines
-  // Version of the sender's settings, where they come as whole documents.
+  // Version of the sender's settings, if they come as whole documents.
   9: optional i64 settingsNext
   10: optional StandingReport standings
-  // The sender follows the source of settings and has its newest version.
+  // The sender reads the source of the settings and has their newest version.
   11: bool isSettingsFresh
 }
 
@@ -239,7 +242,7 @@
   1: string path
   2: string value
   3: i64 revision
-  // Where and when the newest record of the value was written.
+  // Offset and time of the newest record of the value.
   4: i64 writtenOffset
   5: i64 writtenAtMs
 }
@@ -253,7 +256,7 @@
 
 struct SnapshotRequest {}
 
-// The settings tree as folded up to an offset, with the latest verdicts.
+// The settings after all records up to an offset, with the latest verdicts.
 struct Snapshot {
   1: i64 settingsOffset
   2: list<SettingsEntry> entries
