--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -139,14 +139,14 @@
                               const std::string &target,
                               const std::string &body) {
   LastId = "attempt-" + std::to_string(++Attempts);
-  HttpQuestion question{method,
-                        target,
-                        {{"Host", "h.example"},
-                         {"Attempt-Id", LastId},
-                         {"Calling-Service", "forged"},
-                         {"Remaining-Milliseconds", "1500"}},
-                        body};
-  return callOnce(Nodes.at(node).Http, question, CallTimeout);
+  HttpCall call{method,
+                target,
+                {{"Host", "h.example"},
+                 {"Attempt-Id", LastId},
+                 {"Calling-Service", "forged"},
+                 {"Remaining-Milliseconds", "1500"}},
+                body};
+  return callOnce(Nodes.at(node).Http, call, CallTimeout);
 }
 
 int PlatformFleet::readiness(const std::string &node) {
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -192,9 +192,8 @@
   PlatformFleet fleet;
   startAll(fleet);
   auto heartbeat = [&](const std::string &id, const std::string &body) {
-    HttpQuestion question{
-        "POST", "/rpc?call=instances.heartbeat&of=" + id, {}, body};
-    return callOnce(fleet.node("n1").Admin, question, CallTimeout).Status;
+    HttpCall call{"POST", "/rpc?call=instances.heartbeat&of=" + id, {}, body};
+    return callOnce(fleet.node("n1").Admin, call, CallTimeout).Status;
   };
   CHECK(heartbeat("x", "") == 400);
   CHECK(heartbeat("x", "[1,2]") == 400);
@@ -255,13 +254,13 @@
   constexpr int slots = 6;
   constexpr int waiting = 3;
   auto send = [&](int number) {
-    HttpQuestion question{"POST",
-                          "/once/x",
-                          {{"Host", "h.example"},
-                           {"Attempt-Id", "late-" + std::to_string(number)},
-                           {"Remaining-Milliseconds", "7000"}},
-                          ""};
-    return callOnce(fleet.node("n3").Http, question,
+    HttpCall call{"POST",
+                  "/once/x",
+                  {{"Host", "h.example"},
+                   {"Attempt-Id", "late-" + std::to_string(number)},
+                   {"Remaining-Milliseconds", "7000"}},
+                  ""};
+    return callOnce(fleet.node("n3").Http, call,
                     std::chrono::milliseconds(9'000));
   };
   std::vector<std::future<HttpReply>> replies;
--- a/tests/process/test_path.cpp
+++ b/tests/process/test_path.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Three nodes; the last has no endpoint of its own.
-void startPath(TestFleet &fleet) {
+/// Starts three nodes, of which n3 has no endpoint.
+void startFleet(TestFleet &fleet) {
   fleet.startLog();
   for (const char *node : {"n1", "n2", "n3"})
     fleet.startNode(node);
@@ -22,7 +22,7 @@
   fleet.awaitReady();
 }
 
-std::string bodyOf(int caller, int i) {
+std::string makeBody(int caller, int i) {
   constexpr int Sizes[] = {0, 10, 5'000, 300'000, 8 * 1024 * 1024 - 100};
   std::string text = std::to_string(caller) + "/" + std::to_string(i) + ":";
   std::size_t n = std::size_t(Sizes[i % 5]);
@@ -34,26 +34,27 @@
 
 } // namespace
 
-TEST_CASE("each of many callers gets the whole answer to its own request",
+TEST_CASE("concurrent callers get complete responses to their own requests",
           "[path]") {
   TestFleet fleet;
-  startPath(fleet);
+  startFleet(fleet);
   std::atomic<int> wrong{0};
   std::atomic<int> right{0};
   std::vector<std::jthread> callers;
   for (int caller = 0; caller < 8; ++caller)
     callers.emplace_back([&, caller] {
       for (int i = 0; i < 15; ++i) {
-        std::string body = bodyOf(caller, i);
+        std::string body = makeBody(caller, i);
         std::string id = std::to_string(caller * 100 + i);
-        HttpQuestion question{"PUT", "/x", {{"X-Client-Id", id}}, body};
+        HttpCall call{"PUT", "/x", {{"X-Client-Id", id}}, body};
         HttpReply reply =
-            fleet.call("n" + std::to_string(1 + i % 3), question, 20'000);
+            fleet.call("n" + std::to_string(1 + i % 3), call, 20'000);
         std::size_t line = reply.Body.find('\n');
-        bool isOwn = reply.Status == 200 && reply.header("X-Echo-Id") == id &&
-                     line != std::string::npos &&
-                     reply.Body.compare(line + 1, std::string::npos, body) == 0;
-        ++(isOwn ? right : wrong);
+        bool isCorrect =
+            reply.Status == 200 && reply.header("X-Echo-Id") == id &&
+            line != std::string::npos &&
+            reply.Body.compare(line + 1, std::string::npos, body) == 0;
+        ++(isCorrect ? right : wrong);
       }
     });
   for (std::jthread &it : callers)
@@ -64,9 +65,9 @@
   CHECK(counts["overruns"] == 0);
 }
 
-TEST_CASE("a caller that leaves frees the slot", "[path]") {
+TEST_CASE("a slot is released when its caller disconnects", "[path]") {
   TestFleet fleet;
-  startPath(fleet);
+  startFleet(fleet);
   for (int i = 0; i < 12; ++i)
     callOnce(fleet.node("n3").Http,
              {"GET", "/", {{"Host", "s.example"}, {"X-Work-Ms", "30000"}}, ""},
@@ -75,9 +76,10 @@
   CHECK(reply.Status == 200);
 }
 
-TEST_CASE("wrong requests get a clear answer and harm nothing", "[input]") {
+TEST_CASE("malformed input is rejected and does not affect later requests",
+          "[input]") {
   TestFleet fleet;
-  startPath(fleet);
+  startFleet(fleet);
   const std::string &http = fleet.node("n1").Http;
   auto limit = std::chrono::milliseconds(700);
   CHECK(sendRaw(http, "NOT HTTP AT ALL\r\n\r\n", limit).find(" 400 ") !=
@@ -127,7 +129,7 @@
   }
 }
 
-TEST_CASE("settings files are checked in full before anything starts",
+TEST_CASE("the daemon exits with status 2 if it has no settings file",
           "[input]") {
   TestFleet fleet;
   std::string daemon =
--- a/tests/process/test_promises.cpp
+++ b/tests/process/test_promises.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-/// n1 takes the callers; the endpoints are behind the other nodes.
-void startThree(TestFleet &fleet, bool hasRelays = false) {
+/// Starts three nodes. Only n2 and n3 have endpoints, so that requests sent to
+/// n1 are forwarded.
+void startThreeNodes(TestFleet &fleet, bool hasRelays = false) {
   fleet.startLog();
   for (const char *node : {"n1", "n2", "n3"})
     fleet.startNode(node, hasRelays);
@@ -23,17 +24,17 @@
   fleet.awaitReady();
 }
 
-HttpQuestion keyed(const std::string &key, const std::string &tag,
+HttpCall keyedWork(const std::string &key, const std::string &tag,
                    int workMs = 25) {
-  HttpQuestion question = taggedWork(tag, workMs);
-  question.Headers.push_back({"Idempotency-Key", key});
-  return question;
+  HttpCall call = taggedWork(tag, workMs);
+  call.Headers.push_back({"Idempotency-Key", key});
+  return call;
 }
 
-/// What the caller was told agrees with what was run.
-void checkHonest(TestFleet &fleet, const std::string &tag,
-                 const HttpReply &reply) {
-  int runs = fleet.runsOf(tag);
+/// Checks that the outcome reported to the caller matches the number of runs.
+void checkOutcome(TestFleet &fleet, const std::string &tag,
+                  const HttpReply &reply) {
+  int runs = fleet.countRuns(tag);
   INFO("tag " << tag << " status " << reply.Status << " " << reply.Body);
   CHECK(runs <= 1);
   if (reply.problem("run") == "not_run")
@@ -42,14 +43,14 @@
     CHECK(runs == 1);
 }
 
-void pauseFor(int ms) { std::this_thread::sleep_for(milliseconds(ms)); }
+void sleepMs(int ms) { std::this_thread::sleep_for(milliseconds(ms)); }
 
 } // namespace
 
-TEST_CASE("a gate killed at work leaves the outcome unknown, never not_run",
+TEST_CASE("requests at a killed gate are reported as unknown, never not_run",
           "[kill]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   std::vector<HttpReply> replies(6);
   std::vector<std::jthread> callers;
   for (int i = 0; i < 6; ++i)
@@ -65,16 +66,16 @@
     it.join();
   int unknown = 0;
   for (int i = 0; i < 6; ++i) {
-    checkHonest(fleet, "kill" + std::to_string(i), replies[i]);
+    checkOutcome(fleet, "kill" + std::to_string(i), replies[i]);
     unknown += replies[i].problem("run") == "unknown";
   }
   CHECK(unknown >= 3);
 }
 
-TEST_CASE("a gate that pauses between start and answer misleads nobody",
+TEST_CASE("outcomes are correct after a gate was paused while work ran",
           "[pause]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   std::vector<HttpReply> replies(6);
   std::vector<std::jthread> callers;
   for (int i = 0; i < 6; ++i)
@@ -91,14 +92,14 @@
   for (std::jthread &it : callers)
     it.join();
   fleet.process("n2").signal(SIGCONT);
-  pauseFor(1'500);
+  sleepMs(1'500);
   for (int i = 0; i < 6; ++i)
-    checkHonest(fleet, "pause" + std::to_string(i), replies[i]);
+    checkOutcome(fleet, "pause" + std::to_string(i), replies[i]);
 }
 
-TEST_CASE("connections that go silent cost no request", "[silent]") {
+TEST_CASE("requests succeed when open connections go silent", "[silent]") {
   TestFleet fleet;
-  startThree(fleet, true);
+  startThreeNodes(fleet, true);
   for (int i = 0; i < 6; ++i)
     REQUIRE(fleet.call("n1", {"GET", "/", {}, ""}).Status == 200);
   fleet.controlRelay("n2", {{"silence", true}});
@@ -107,13 +108,14 @@
     std::string tag = "silent" + std::to_string(i);
     HttpReply reply = fleet.call("n1", taggedWork(tag), 4'000);
     CHECK(reply.Status == 200);
-    checkHonest(fleet, tag, reply);
+    checkOutcome(fleet, tag, reply);
   }
 }
 
-TEST_CASE("a link frozen in one direction leaves answers honest", "[one-way]") {
+TEST_CASE("outcomes are correct while a link is frozen in one direction",
+          "[one-way]") {
   TestFleet fleet;
-  startThree(fleet, true);
+  startThreeNodes(fleet, true);
   for (const char *direction : {"freeze_in", "freeze_out"}) {
     std::vector<HttpReply> replies(4);
     std::vector<std::jthread> callers;
@@ -126,13 +128,13 @@
     for (std::jthread &it : callers)
       it.join();
     fleet.controlRelay("n2", {{direction, false}});
-    pauseFor(1'000);
+    sleepMs(1'000);
     for (int i = 0; i < 4; ++i)
-      checkHonest(fleet, direction + std::to_string(i), replies[i]);
+      checkOutcome(fleet, direction + std::to_string(i), replies[i]);
   }
 }
 
-TEST_CASE("work cut off from its entry is answered through a third node",
+TEST_CASE("an answer reaches a disconnected entry through a third node",
           "[third]") {
   TestFleet fleet;
   fleet.startLog();
@@ -147,96 +149,100 @@
   HttpReply reply;
   std::jthread caller(
       [&] { reply = fleet.call("origin", taggedWork("third", 1'200), 4'000); });
-  pauseFor(300);
+  sleepMs(300);
   fleet.controlRelay("gate", {{"cut_node", "origin"}});
   caller.join();
   CHECK(reply.Status == 200);
-  CHECK(fleet.runsOf("third") == 1);
+  CHECK(fleet.countRuns("third") == 1);
 }
 
-TEST_CASE("a resent key meets the first run through any entry", "[keys]") {
+TEST_CASE("a repeated key gets the answer of its first run at any entry",
+          "[keys]") {
   TestFleet fleet;
-  startThree(fleet);
-  HttpReply first = fleet.call("n1", keyed("k1", "key1"));
+  startThreeNodes(fleet);
+  HttpReply first = fleet.call("n1", keyedWork("k1", "key1"));
   REQUIRE(first.Status == 200);
   for (const char *node : {"n2", "n3", "n1"}) {
-    HttpReply again = fleet.call(node, keyed("k1", "key1"));
+    HttpReply again = fleet.call(node, keyedWork("k1", "key1"));
     CHECK(again.Status == 200);
     CHECK(again.Body == first.Body);
     CHECK(again.header("Idempotent-Replayed") == "true");
   }
-  CHECK(fleet.runsOf("key1") == 1);
+  CHECK(fleet.countRuns("key1") == 1);
 
   std::vector<HttpReply> replies(6);
   std::vector<std::jthread> callers;
   for (int i = 0; i < 6; ++i)
     callers.emplace_back([&, i] {
       replies[i] = fleet.call("n" + std::to_string(1 + i % 3),
-                              keyed("k2", "key2", 300), 4'000);
+                              keyedWork("k2", "key2", 300), 4'000);
     });
   for (std::jthread &it : callers)
     it.join();
   for (const HttpReply &it : replies)
     CHECK(it.Status == 200);
-  CHECK(fleet.runsOf("key2") == 1);
+  CHECK(fleet.countRuns("key2") == 1);
 
-  HttpQuestion other = keyed("k1", "key1");
+  HttpCall other = keyedWork("k1", "key1");
   other.Body = "something else";
   CHECK(fleet.call("n2", other).problem("kind") == "key_reused");
 }
 
-TEST_CASE("keys survive the loss of any one keeper", "[keys]") {
+TEST_CASE("keys survive the loss of a keeper", "[keys]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   for (int i = 0; i < 8; ++i) {
     std::string id = std::to_string(i);
-    REQUIRE(fleet.call("n1", keyed("lost" + id, "lost" + id)).Status == 200);
+    REQUIRE(fleet.call("n1", keyedWork("lost" + id, "lost" + id)).Status ==
+            200);
   }
   fleet.process("n2").signal(SIGKILL);
   fleet.process("n2").wait();
   fleet.await(
-      "the dead keeper evicted",
+      "eviction of the killed keeper",
       [&] { return fleet.status("n1")["keepers"].size() == 2; }, 60'000);
   for (int i = 0; i < 8; ++i) {
     std::string id = std::to_string(i);
-    HttpReply again = fleet.call("n3", keyed("lost" + id, "lost" + id));
+    HttpReply again = fleet.call("n3", keyedWork("lost" + id, "lost" + id));
     CHECK(again.Status == 200);
     CHECK(again.header("Idempotent-Replayed") == "true");
-    CHECK(fleet.runsOf("lost" + id) <= 1);
+    CHECK(fleet.countRuns("lost" + id) <= 1);
   }
 }
 
-TEST_CASE("keys stay honest with the log away and a keeper paused", "[keys]") {
+TEST_CASE("no key runs twice while the log is down and a keeper paused",
+          "[keys]") {
   TestFleet fleet;
-  startThree(fleet);
-  HttpReply first = fleet.call("n1", keyed("away", "away"));
+  startThreeNodes(fleet);
+  HttpReply first = fleet.call("n1", keyedWork("away", "away"));
   REQUIRE(first.Status == 200);
   fleet.controlLog({{"mode", "refuse"}});
-  pauseFor(12'000);
-  HttpReply again = fleet.call("n2", keyed("away", "away"));
+  sleepMs(12'000);
+  HttpReply again = fleet.call("n2", keyedWork("away", "away"));
   CHECK(again.Status == 200);
   CHECK(again.header("Idempotent-Replayed") == "true");
-  HttpReply fresh = fleet.call("n3", keyed("away2", "away2"));
+  HttpReply fresh = fleet.call("n3", keyedWork("away2", "away2"));
   CHECK(fresh.Status == 200);
   fleet.process("n2").signal(SIGSTOP);
-  pauseFor(12'000);
+  sleepMs(12'000);
   std::vector<std::string> nodes{"n1", "n3"};
   for (int i = 0; i < 6; ++i) {
     std::string tag = "paused" + std::to_string(i);
-    HttpReply reply = fleet.call(nodes[std::size_t(i) % 2], keyed(tag, tag));
-    checkHonest(fleet, tag, reply);
+    HttpReply reply =
+        fleet.call(nodes[std::size_t(i) % 2], keyedWork(tag, tag));
+    checkOutcome(fleet, tag, reply);
   }
   fleet.process("n2").signal(SIGCONT);
   for (int i = 0; i < 6; ++i) {
     std::string tag = "paused" + std::to_string(i);
-    fleet.call("n2", keyed(tag, tag));
-    CHECK(fleet.runsOf(tag) <= 1);
+    fleet.call("n2", keyedWork(tag, tag));
+    CHECK(fleet.countRuns(tag) <= 1);
   }
 }
 
 TEST_CASE("a rolling restart under load loses no request", "[restart]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   fleet.startEndpoint("e1", "n1");
   fleet.awaitReady();
   std::atomic<bool> isOver{false};
@@ -252,7 +258,7 @@
         HttpReply reply;
         for (int hop = 0; hop < 3 && reply.Status == 0; ++hop)
           reply = fleet.call("n" + std::to_string(1 + (caller + i + hop) % 3),
-                             i % 2 ? keyed(tag, tag) : HttpQuestion{}, 8'000);
+                             i % 2 ? keyedWork(tag, tag) : HttpCall{}, 8'000);
         ++(reply.Status == 200 ? served : lost);
         if (reply.Status != 200)
           lastLoss = std::to_string(reply.Status) + " " + reply.Body;
@@ -271,13 +277,13 @@
   CHECK(lost == 0);
   CHECK(served > 100);
   for (int i = 0; i < next; ++i)
-    CHECK(fleet.runsOf("roll" + std::to_string(i)) <= 1);
+    CHECK(fleet.countRuns("roll" + std::to_string(i)) <= 1);
 }
 
-TEST_CASE("a leaving endpoint gets no new work and finishes its own",
+TEST_CASE("a draining endpoint gets no new work and finishes its requests",
           "[drain]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   HttpReply slow;
   std::jthread caller(
       [&] { slow = fleet.call("n1", taggedWork("slow", 2'500), 6'000); });
@@ -285,10 +291,10 @@
     return fleet.controlEndpoint("e2", json::object())["running"] == 1 ||
            fleet.controlEndpoint("e3", json::object())["running"] == 1;
   });
-  bool isSecond = fleet.controlEndpoint("e2", json::object())["running"] == 1;
-  std::string leaving = isSecond ? "e2" : "e3";
+  bool isAtE2 = fleet.controlEndpoint("e2", json::object())["running"] == 1;
+  std::string leaving = isAtE2 ? "e2" : "e3";
   fleet.controlEndpoint(leaving, {{"state", "draining"}});
-  pauseFor(2'000);
+  sleepMs(2'000);
   json before = fleet.controlEndpoint(leaving, json::object());
   for (int i = 0; i < 30; ++i)
     CHECK(fleet.call("n1", {"GET", "/", {}, ""}).Status == 200);
@@ -296,29 +302,30 @@
   CHECK(before["started"] == after["started"]);
   caller.join();
   CHECK(slow.Status == 200);
-  CHECK(fleet.runsOf("slow") == 1);
+  CHECK(fleet.countRuns("slow") == 1);
 }
 
-TEST_CASE("a truncated answer never reaches a caller as a whole one",
+TEST_CASE("a truncated response is reported to the caller as an error",
           "[answers]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   fleet.controlEndpoint("e2", {{"truncate", true}});
   fleet.controlEndpoint("e3", {{"truncate", true}});
   HttpReply reply = fleet.call("n1", taggedWork("cut"), 3'000);
   CHECK(reply.Status == 502);
   CHECK(reply.problem("run") == "unknown");
-  CHECK(fleet.runsOf("cut") == 1);
+  CHECK(fleet.countRuns("cut") == 1);
   fleet.controlEndpoint("e3", {{"truncate", false}});
   for (int i = 0; i < 10; ++i)
     CHECK(fleet.call("n1", {"GET", "/", {}, ""}, 4'000).Status == 200);
 }
 
-// The copy comes while the next request runs on the same connection.
-TEST_CASE("a late second copy of an answer reaches no other caller",
+// The duplicate arrives while the next request runs on the same connection and
+// must not be taken for the response to that request.
+TEST_CASE("a late duplicate of a response reaches no other caller",
           "[answers]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   for (const char *name : {"e2", "e3"})
     fleet.controlEndpoint(name,
                           {{"second_copy_ms", 30}, {"repeats_id", false}});
@@ -337,9 +344,10 @@
     CHECK(answersOwn(i));
 }
 
-TEST_CASE("a stalled endpoint that answers probes is left out", "[stall]") {
+TEST_CASE("a stalled endpoint that passes health probes is ejected",
+          "[stall]") {
   TestFleet fleet;
-  startThree(fleet);
+  startThreeNodes(fleet);
   for (int i = 0; i < 20; ++i)
     REQUIRE(fleet.call("n1", {"GET", "/", {}, ""}).Status == 200);
   fleet.controlEndpoint("e2", {{"stall", true}});
@@ -352,13 +360,13 @@
   for (std::jthread &it : callers)
     it.join();
   CHECK(served == 6);
-  fleet.await("the endpoint ejected", [&] {
+  fleet.await("ejection of the stalled endpoint", [&] {
     json report = fleet.status("n1");
     return report["ejections"].size() == 1;
   });
   fleet.controlEndpoint("e2", {{"stall", false}});
   fleet.await(
-      "the endpoint readmitted",
+      "readmission of the endpoint",
       [&] {
         fleet.call("n1", {"GET", "/", {}, ""});
         json report = fleet.status("n1");
@@ -371,7 +379,8 @@
       60'000);
 }
 
-TEST_CASE("a poison request takes two endpoints at the most", "[poison]") {
+TEST_CASE("a request that crashes endpoints is stopped after two crashes",
+          "[poison]") {
   TestFleet fleet;
   fleet.startLog();
   for (const char *node : {"n1", "n2", "n3"})
--- a/tests/standins/endpointstandin.cpp
+++ b/tests/standins/endpointstandin.cpp
@@ -8,8 +8,9 @@
 #include <map>
 #include <unistd.h>
 
-/// Stand-in for an endpoint: announces itself, runs work for the time that a
-/// request asks for, and fails in the ways that POST /_control switches on.
+/// Simulates an endpoint: announces itself to a node, works on a request for as
+/// long as its X-Work-Ms header says, and injects the faults that POST
+/// /_control enables.
 
 namespace hickoryglade::standins {
 
@@ -21,24 +22,24 @@
 constexpr Millis Step{2};
 
 struct Behaviour {
-  /// Work never ends while set; probes are answered.
+  /// Requests do not complete while this is set; health probes still succeed.
   bool Stall = false;
-  /// Alternates between well and stalled with this period.
-  int FlapMs = 0;
-  /// The first requests take longer by this much.
-  int ColdMs = 0;
-  int ColdRequests = 0;
-  /// Reports no load whatever runs.
-  bool LieLoad = false;
-  /// Breaks off answers in the middle.
+  /// Operates normally and stalls in turn, for this time each; 0 disables it.
+  int FlapIntervalMs = 0;
+  /// Extra time for each of the first ColdStartRequests requests.
+  int ColdStartMs = 0;
+  int ColdStartRequests = 0;
+  /// Reports a load of 0, however many requests run.
+  bool ReportsZeroLoad = false;
+  /// Sends about half of each response body and closes the connection.
   bool Truncate = false;
-  /// Sends each answer once more after this time, if it is above 0.
-  int SecondCopyMs = 0;
-  /// Repeats the id of the request in its answer.
-  bool RepeatsId = true;
-  /// Answers only after this extra time.
-  int LateMs = 0;
-  /// Ignores connections that were open when this was set.
+  /// Sends a duplicate of each response after this delay; 0 disables it.
+  int DuplicateDelayMs = 0;
+  /// Copies the Request-Id header of the request into the response.
+  bool EchoesRequestId = true;
+  /// Delay between the end of the work and the response.
+  int ExtraDelayMs = 0;
+  /// Stops responding on connections that were open when this was set.
   bool SilentConnections = false;
   bool Shed = false;
   bool Announce = true;
@@ -62,28 +63,29 @@
   explicit Endpoint(Identity identity) : Self(std::move(identity)) {}
 
   asio::awaitable<bool> handle(HttpRequest request,
-                               std::shared_ptr<Wire> wire) {
+                               std::shared_ptr<RawConnection> connection) {
     if (request.Target == "/_control")
-      co_return co_await control(request, wire);
-    if (std::ranges::find(Silent, wire) != Silent.end()) {
+      co_return co_await control(request, connection);
+    if (std::ranges::find(IgnoredConnections, connection) !=
+        IgnoredConnections.end()) {
       while (true)
         co_await sleepFor(std::chrono::seconds(1));
     }
-    noteWire(wire);
+    trackConnection(connection);
     if (request.Target == "/healthz") {
       co_await sleepFor(Millis(Self.WorkMs));
       std::string bytes = answerBytes(200, "ok");
-      co_await wire->write(std::move(bytes));
+      co_await connection->write(std::move(bytes));
       co_return true;
     }
-    co_return co_await work(std::move(request), std::move(wire));
+    co_return co_await work(std::move(request), std::move(connection));
   }
 
   asio::awaitable<void> announceForever() {
     while (true) {
       std::string method = "POST";
       std::string target = "/v1/endpoints";
-      if (Now.Announce)
+      if (Active.Announce)
         co_await callHttp(Self.Announce, method, target, announcement());
       for (int i = 0; i < 100 && !IsAnnounceDue; ++i)
         co_await sleepFor(Millis(10));
@@ -100,142 +102,148 @@
                 {"slots", Self.Slots},
                 {"data_centre", Self.DataCentre},
                 {"incarnation", Self.Incarnation},
-                {"state", Now.State}}
+                {"state", Active.State}}
         .dump();
   }
 
   std::string counters() const {
     return json{{"running", Running},
                 {"started", Started},
-                {"most_running", MostRunning},
+                {"most_running", MaxRunning},
                 {"overruns", Overruns},
                 {"runs", Runs}}
         .dump();
   }
 
-  void noteWire(const std::shared_ptr<Wire> &wire) {
-    if (std::ranges::find(Open, wire) == Open.end())
-      Open.push_back(wire);
+  void trackConnection(const std::shared_ptr<RawConnection> &connection) {
+    if (std::ranges::find(OpenConnections, connection) == OpenConnections.end())
+      OpenConnections.push_back(connection);
   }
 
   bool isStalled() const {
-    if (Now.FlapMs > 0) {
-      auto phase = now().time_since_epoch() / Millis(Now.FlapMs);
+    if (Active.FlapIntervalMs > 0) {
+      auto phase = now().time_since_epoch() / Millis(Active.FlapIntervalMs);
       return phase % 2 == 1;
     }
-    return Now.Stall;
+    return Active.Stall;
   }
 
   static int headerInt(const HttpRequest &request, const char *name,
-                       int otherwise) {
+                       int fallback) {
     std::string text = headerValue(request.Headers, name);
-    return text.empty() ? otherwise : std::atoi(text.c_str());
+    return text.empty() ? fallback : std::atoi(text.c_str());
   }
 
-  asio::awaitable<bool> work(HttpRequest request, std::shared_ptr<Wire> wire) {
-    if (Now.Shed || Running >= Self.Slots) {
+  asio::awaitable<bool> work(HttpRequest request,
+                             std::shared_ptr<RawConnection> connection) {
+    if (Active.Shed || Running >= Self.Slots) {
       Overruns += Running >= Self.Slots;
       std::string bytes = answerBytes(503, "", "Endpoint-Shed: not-run\r\n");
-      co_await wire->write(std::move(bytes));
+      co_await connection->write(std::move(bytes));
       co_return true;
     }
     ++Running;
     ++Started;
-    MostRunning = std::max(MostRunning, Running);
+    MaxRunning = std::max(MaxRunning, Running);
     std::string tag = headerValue(request.Headers, "X-Run-Tag");
     if (!tag.empty())
       ++Runs[tag];
     if (request.Content->find("POISON") != std::string::npos)
       _exit(70);
     Instant end = now() + Millis(headerInt(request, "X-Work-Ms", Self.WorkMs));
-    if (Cold < Now.ColdRequests) {
-      ++Cold;
-      end += Millis(Now.ColdMs);
+    if (ColdStarts < Active.ColdStartRequests) {
+      ++ColdStarts;
+      end += Millis(Active.ColdStartMs);
     }
-    while ((now() < end || isStalled()) && !wire->isGone())
+    while ((now() < end || isStalled()) && !connection->isClosedByPeer())
       co_await sleepFor(std::clamp(toMillis(end - now()), Step, Millis(20)));
     --Running;
-    if (wire->isGone())
+    if (connection->isClosedByPeer())
       co_return false;
-    if (Now.LateMs > 0)
-      co_await sleepFor(Millis(Now.LateMs));
-    co_return co_await answer(request, wire);
+    if (Active.ExtraDelayMs > 0)
+      co_await sleepFor(Millis(Active.ExtraDelayMs));
+    co_return co_await answer(request, connection);
   }
 
   asio::awaitable<bool> answer(const HttpRequest &request,
-                               std::shared_ptr<Wire> wire) {
+                               std::shared_ptr<RawConnection> connection) {
     std::string body = "endpoint=" + Self.Name + "\n" + *request.Content;
-    int load = Now.LieLoad ? 0 : Running;
+    int load = Active.ReportsZeroLoad ? 0 : Running;
     std::string bytes =
         answerBytes(200, body,
                     "Endpoint-Load: " + std::to_string(load) + "/" +
                         std::to_string(Self.Slots) + "\r\nX-Echo-Id: " +
                         headerValue(request.Headers, "X-Client-Id") + "\r\n" +
-                        idLine(request));
-    if (Now.Truncate) {
-      co_await wire->write(bytes.substr(0, bytes.size() - body.size() / 2 - 1));
+                        requestIdHeader(request));
+    if (Active.Truncate) {
+      co_await connection->write(
+          bytes.substr(0, bytes.size() - body.size() / 2 - 1));
       co_return false;
     }
-    if (Now.SecondCopyMs > 0)
-      asio::co_spawn(co_await asio::this_coro::executor,
-                     sendAgain(wire, bytes, Millis(Now.SecondCopyMs)),
-                     asio::detached);
-    co_await wire->write(std::move(bytes));
+    if (Active.DuplicateDelayMs > 0)
+      asio::co_spawn(
+          co_await asio::this_coro::executor,
+          sendDuplicate(connection, bytes, Millis(Active.DuplicateDelayMs)),
+          asio::detached);
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
-  std::string idLine(const HttpRequest &request) const {
+  std::string requestIdHeader(const HttpRequest &request) const {
     std::string id = headerValue(request.Headers, "Request-Id");
-    return Now.RepeatsId ? "Request-Id: " + id + "\r\n" : "";
+    return Active.EchoesRequestId ? "Request-Id: " + id + "\r\n" : "";
   }
 
-  static asio::awaitable<void> sendAgain(std::shared_ptr<Wire> wire,
-                                         std::string bytes, Millis wait) {
+  static asio::awaitable<void>
+  sendDuplicate(std::shared_ptr<RawConnection> connection, std::string bytes,
+                Millis wait) {
     co_await sleepFor(wait);
-    co_await wire->write(std::move(bytes));
+    co_await connection->write(std::move(bytes));
   }
 
   asio::awaitable<bool> control(const HttpRequest &request,
-                                std::shared_ptr<Wire> wire) {
+                                std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
-      Now.Stall = in.value("stall", Now.Stall);
-      Now.FlapMs = in.value("flap_ms", Now.FlapMs);
-      Now.ColdMs = in.value("cold_ms", Now.ColdMs);
-      Now.ColdRequests = in.value("cold_requests", Now.ColdRequests);
-      Now.LieLoad = in.value("lie_load", Now.LieLoad);
-      Now.Truncate = in.value("truncate", Now.Truncate);
-      Now.SecondCopyMs = in.value("second_copy_ms", Now.SecondCopyMs);
-      Now.RepeatsId = in.value("repeats_id", Now.RepeatsId);
-      Now.LateMs = in.value("late_ms", Now.LateMs);
-      Now.Shed = in.value("shed", Now.Shed);
-      Now.Announce = in.value("announce", Now.Announce);
-      Now.State = in.value("state", Now.State);
+      Active.Stall = in.value("stall", Active.Stall);
+      Active.FlapIntervalMs = in.value("flap_ms", Active.FlapIntervalMs);
+      Active.ColdStartMs = in.value("cold_ms", Active.ColdStartMs);
+      Active.ColdStartRequests =
+          in.value("cold_requests", Active.ColdStartRequests);
+      Active.ReportsZeroLoad = in.value("lie_load", Active.ReportsZeroLoad);
+      Active.Truncate = in.value("truncate", Active.Truncate);
+      Active.DuplicateDelayMs =
+          in.value("second_copy_ms", Active.DuplicateDelayMs);
+      Active.EchoesRequestId = in.value("repeats_id", Active.EchoesRequestId);
+      Active.ExtraDelayMs = in.value("late_ms", Active.ExtraDelayMs);
+      Active.Shed = in.value("shed", Active.Shed);
+      Active.Announce = in.value("announce", Active.Announce);
+      Active.State = in.value("state", Active.State);
       IsAnnounceDue = IsAnnounceDue || in.contains("state");
       if (in.value("silence", false))
-        Silent = Open;
+        IgnoredConnections = OpenConnections;
       if (in.value("leave", false)) {
-        Now.Announce = false;
+        Active.Announce = false;
         std::string method = "DELETE";
         std::string target = "/v1/endpoints/" + Self.Name;
         co_await callHttp(Self.Announce, method, target, std::string());
       }
     }
     std::string bytes = answerBytes(200, counters());
-    co_await wire->write(std::move(bytes));
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
   Identity Self;
-  Behaviour Now;
-  std::vector<std::shared_ptr<Wire>> Open;
-  std::vector<std::shared_ptr<Wire>> Silent;
+  Behaviour Active;
+  std::vector<std::shared_ptr<RawConnection>> OpenConnections;
+  std::vector<std::shared_ptr<RawConnection>> IgnoredConnections;
   std::map<std::string, int> Runs;
   int Running = 0;
   int Started = 0;
-  int MostRunning = 0;
+  int MaxRunning = 0;
   int Overruns = 0;
-  int Cold = 0;
+  int ColdStarts = 0;
   bool IsAnnounceDue = false;
 };
 
@@ -245,8 +253,8 @@
 
 int main(int argc, char **argv) {
   using namespace hickoryglade;
-  auto option = [&](const std::string &name, const std::string &otherwise) {
-    return standins::optionValue(argc, argv, name, otherwise);
+  auto option = [&](const std::string &name, const std::string &fallback) {
+    return standins::optionValue(argc, argv, name, fallback);
   };
   standins::Identity identity;
   identity.Listen = option("listen", "127.0.0.1:7100");
@@ -260,12 +268,12 @@
   identity.Incarnation = std::to_string(fleet::wallMicros());
   fleet::asio::io_context io{1};
   auto endpoint = std::make_shared<standins::Endpoint>(identity);
-  standins::serveHttp(io, identity.Listen,
-                      [endpoint](fleet::HttpRequest request,
-                                 std::shared_ptr<standins::Wire> wire) {
-                        return endpoint->handle(std::move(request),
-                                                std::move(wire));
-                      });
+  standins::serveHttp(
+      io, identity.Listen,
+      [endpoint](fleet::HttpRequest request,
+                 std::shared_ptr<standins::RawConnection> connection) {
+        return endpoint->handle(std::move(request), std::move(connection));
+      });
   fleet::asio::co_spawn(io, endpoint->announceForever(), fleet::asio::detached);
   io.run();
   return 0;
--- a/tests/standins/relay.cpp
+++ b/tests/standins/relay.cpp
@@ -9,11 +9,12 @@
 #include <iostream>
 #include <list>
 
-/// Stands between two processes on TCP and UDP and delays, freezes or closes
-/// what passes, each direction apart, as POST /control on another address
-/// says: {"delay_ms", "freeze_in", "freeze_out", "silence", "close",
-/// "cut_node"}. A cut node's connections, which are known by its name in their
-/// first bytes, go silent, and so do those that it opens later.
+/// Relays TCP and UDP between two processes. POST /control on a separate
+/// address delays or freezes the traffic, or closes the connections. Its fields
+/// are "delay_ms", "freeze_in", "freeze_out", "silence", "close" and
+/// "cut_node". The connections of a cut node go silent, including those that it
+/// opens later. The relay recognises them by the node's name in their first
+/// bytes.
 
 namespace hickoryglade::standins {
 
@@ -27,23 +28,24 @@
 
 struct Faults {
   int DelayMs = 0;
-  /// Towards the process behind the relay.
+  /// Holds back traffic towards the process behind the relay.
   bool FreezeIn = false;
-  /// From the process behind the relay.
+  /// Holds back traffic from the process behind the relay.
   bool FreezeOut = false;
   std::string CutNode;
 };
 
-/// One relayed connection.
-struct Pair {
-  explicit Pair(tcp::socket client)
+/// The two sockets of one relayed connection.
+struct ConnectionPair {
+  explicit ConnectionPair(tcp::socket client)
       : Client(std::move(client)), Server(Client.get_executor()) {}
 
   tcp::socket Client;
   tcp::socket Server;
-  /// Frozen for good, as if something between the ends had lost track.
+  /// Forwards nothing any more but stays open, as after a NAT or firewall has
+  /// lost the state of the connection.
   bool IsSilent = false;
-  /// What the client has sent first.
+  /// First bytes that the client has sent.
   std::string FirstBytes;
 
   void close() {
@@ -66,13 +68,13 @@
   }
 
   asio::awaitable<bool> control(HttpRequest request,
-                                std::shared_ptr<Wire> wire) {
+                                std::shared_ptr<RawConnection> connection) {
     json in = json::parse(*request.Content, nullptr, false);
     if (in.is_object()) {
-      Now.DelayMs = in.value("delay_ms", Now.DelayMs);
-      Now.FreezeIn = in.value("freeze_in", Now.FreezeIn);
-      Now.FreezeOut = in.value("freeze_out", Now.FreezeOut);
-      Now.CutNode = in.value("cut_node", Now.CutNode);
+      Active.DelayMs = in.value("delay_ms", Active.DelayMs);
+      Active.FreezeIn = in.value("freeze_in", Active.FreezeIn);
+      Active.FreezeOut = in.value("freeze_out", Active.FreezeOut);
+      Active.CutNode = in.value("cut_node", Active.CutNode);
       for (const auto &pair : Pairs) {
         pair->IsSilent = pair->IsSilent || in.value("silence", false);
         silenceIfCut(*pair);
@@ -81,7 +83,7 @@
       }
     }
     std::string bytes = answerBytes(200, "{}");
-    co_await wire->write(std::move(bytes));
+    co_await connection->write(std::move(bytes));
     co_return true;
   }
 
@@ -93,14 +95,14 @@
           asio::redirect_error(asio::use_awaitable, ec));
       if (ec)
         continue;
-      auto pair = std::make_shared<Pair>(std::move(client));
+      auto pair = std::make_shared<ConnectionPair>(std::move(client));
       Pairs.push_back(pair);
       asio::co_spawn(Io, serve(pair), asio::detached);
     }
   }
 
-  asio::awaitable<void> serve(std::shared_ptr<Pair> pair) {
-    while (Now.FreezeIn && pair->Client.is_open())
+  asio::awaitable<void> serve(std::shared_ptr<ConnectionPair> pair) {
+    while (Active.FreezeIn && pair->Client.is_open())
       co_await sleepFor(Step);
     error_code ec;
     co_await pair->Server.async_connect(
@@ -111,21 +113,23 @@
     }
     pair->Client.set_option(tcp::no_delay(true), ec);
     pair->Server.set_option(tcp::no_delay(true), ec);
-    asio::co_spawn(Io, pump(pair, pair->Server, pair->Client, Now.FreezeOut),
-                   asio::detached);
-    co_await pump(pair, pair->Client, pair->Server, Now.FreezeIn);
+    asio::co_spawn(
+        Io, forwardStream(pair, pair->Server, pair->Client, Active.FreezeOut),
+        asio::detached);
+    co_await forwardStream(pair, pair->Client, pair->Server, Active.FreezeIn);
     Pairs.remove(pair);
   }
 
-  void silenceIfCut(Pair &pair) const {
-    bool isCut = !Now.CutNode.empty() &&
-                 pair.FirstBytes.find(Now.CutNode) != std::string::npos;
+  void silenceIfCut(ConnectionPair &pair) const {
+    bool isCut = !Active.CutNode.empty() &&
+                 pair.FirstBytes.find(Active.CutNode) != std::string::npos;
     pair.IsSilent = pair.IsSilent || isCut;
   }
 
-  /// Passes bytes one way, in order, each piece after the delay.
-  asio::awaitable<void> pump(std::shared_ptr<Pair> pair, tcp::socket &from,
-                             tcp::socket &to, const bool &isFrozen) {
+  /// Forwards bytes in one direction and in order, each read after the delay.
+  asio::awaitable<void> forwardStream(std::shared_ptr<ConnectionPair> pair,
+                                      tcp::socket &from, tcp::socket &to,
+                                      const bool &isFrozen) {
     std::array<char, BufferBytes> buf{};
     error_code ec;
     while (!ec) {
@@ -137,8 +141,8 @@
         pair->FirstBytes.assign(buf.data(), n);
         silenceIfCut(*pair);
       }
-      if (Now.DelayMs > 0)
-        co_await sleepFor(Millis(Now.DelayMs));
+      if (Active.DelayMs > 0)
+        co_await sleepFor(Millis(Active.DelayMs));
       while ((isFrozen || pair->IsSilent) && to.is_open())
         co_await sleepFor(Step);
       co_await asio::async_write(to, asio::buffer(buf.data(), n),
@@ -157,7 +161,7 @@
       std::size_t n = co_await Datagrams.async_receive_from(
           asio::buffer(buf), sender,
           asio::redirect_error(asio::use_awaitable, ec));
-      if (ec || Now.FreezeIn)
+      if (ec || Active.FreezeIn)
         continue;
       Datagrams.send_to(asio::buffer(buf.data(), n), DatagramsTo, 0, ec);
     }
@@ -168,14 +172,14 @@
   tcp::endpoint To;
   udp::socket Datagrams;
   udp::endpoint DatagramsTo;
-  Faults Now;
-  std::list<std::shared_ptr<Pair>> Pairs;
+  Faults Active;
+  std::list<std::shared_ptr<ConnectionPair>> Pairs;
 };
 
 tcp::endpoint endpointOf(const std::string &address) {
   auto parsed = parseAddress(address);
   if (!parsed) {
-    std::cerr << "not an address: " << address << "\n";
+    std::cerr << "invalid address: " << address << "\n";
     std::exit(2);
   }
   return {asio::ip::make_address(parsed->Ip), parsed->Port};
@@ -195,12 +199,12 @@
       io, standins::endpointOf(option("listen")),
       standins::endpointOf(option("to")));
   relay->start();
-  standins::serveHttp(io, option("control"),
-                      [relay](fleet::HttpRequest request,
-                              std::shared_ptr<standins::Wire> wire) {
-                        return relay->control(std::move(request),
-                                              std::move(wire));
-                      });
+  standins::serveHttp(
+      io, option("control"),
+      [relay](fleet::HttpRequest request,
+              std::shared_ptr<standins::RawConnection> connection) {
+        return relay->control(std::move(request), std::move(connection));
+      });
   io.run();
   return 0;
 }
--- a/tests/standins/standinserver.cpp
+++ b/tests/standins/standinserver.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-constexpr std::uint64_t MostBodyBytes = 64 * 1024 * 1024;
+constexpr std::uint64_t MaxRequestBytes = 64 * 1024 * 1024;
 
-class SocketWire : public Wire {
+class SocketConnection : public RawConnection {
 public:
-  explicit SocketWire(tcp::socket socket) : Stream(std::move(socket)) {}
+  explicit SocketConnection(tcp::socket socket) : Stream(std::move(socket)) {}
 
   asio::awaitable<void> write(std::string bytes) override {
     error_code ec;
@@ -31,7 +31,7 @@
                                asio::redirect_error(asio::use_awaitable, ec));
   }
   void close() override { Stream.close(); }
-  bool isGone() override {
+  bool isClosedByPeer() override {
     error_code ec;
     char byte = 0;
     Stream.socket().non_blocking(true, ec);
@@ -44,14 +44,15 @@
   beast::flat_buffer Buffer;
 };
 
-asio::awaitable<void> serveConnection(std::shared_ptr<SocketWire> wire,
-                                      RawHandler handler) {
+asio::awaitable<void>
+serveConnection(std::shared_ptr<SocketConnection> connection,
+                RawHandler handler) {
   error_code ec;
-  wire->Stream.socket().set_option(tcp::no_delay(true), ec);
+  connection->Stream.socket().set_option(tcp::no_delay(true), ec);
   while (true) {
     http::request_parser<http::string_body> parser;
-    parser.body_limit(MostBodyBytes);
-    co_await http::async_read(wire->Stream, wire->Buffer, parser,
+    parser.body_limit(MaxRequestBytes);
+    co_await http::async_read(connection->Stream, connection->Buffer, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
     if (ec)
       break;
@@ -64,11 +65,11 @@
           {std::string(field.name_string()), std::string(field.value())});
     request.Content =
         std::make_shared<const std::string>(std::move(message.body()));
-    bool isKept = co_await handler(std::move(request), wire);
+    bool isKept = co_await handler(std::move(request), connection);
     if (!isKept)
       break;
   }
-  wire->close();
+  connection->close();
 }
 
 asio::awaitable<void> acceptAll(std::shared_ptr<tcp::acceptor> acceptor,
@@ -82,7 +83,7 @@
     auto ex = acceptor->get_executor();
     asio::co_spawn(
         ex,
-        serveConnection(std::make_shared<SocketWire>(std::move(socket)),
+        serveConnection(std::make_shared<SocketConnection>(std::move(socket)),
                         handler),
         asio::detached);
   }
@@ -91,7 +92,7 @@
 tcp::endpoint toEndpoint(const std::string &address) {
   auto parsed = parseAddress(address);
   if (!parsed) {
-    std::cerr << "not an address: " << address << "\n";
+    std::cerr << "invalid address: " << address << "\n";
     std::exit(2);
   }
   return {asio::ip::make_address(parsed->Ip), parsed->Port};
@@ -150,11 +151,11 @@
 }
 
 std::string optionValue(int argc, char **argv, const std::string &name,
-                        const std::string &otherwise) {
+                        const std::string &fallback) {
   for (int i = 1; i + 1 < argc; ++i)
     if (argv[i] == "--" + name)
       return argv[i + 1];
-  return otherwise;
+  return fallback;
 }
 
 } // namespace hickoryglade::standins
