--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -139,7 +139,7 @@
     std::cout << body.dump() << "\n";
   if (outcome == "conflict") {
     std::cerr << "conflict: another change is in force, revision "
-              << body["revision"] << "; look at it and publish again\n";
+              << body["revision"] << "; review it and publish again\n";
     return ExitConflict;
   }
   for (const json &it : body.value("faults", json::array()))
@@ -165,18 +165,20 @@
   }
   std::cout << "settings up to version " << report["settings_next"]
             << ", in force for " << report["settings_in_force_ms"]
-            << " ms; their source is "
-            << (report["log_reachable"].get<bool>() ? "reachable" : "away")
+            << " ms; settings source "
+            << (report["log_reachable"].get<bool>() ? "reachable"
+                                                    : "unreachable")
             << ", last answered " << report["source_age_ms"] << " ms ago\n";
   if (const json &it = report["settings_refused"]; it.is_object())
-    std::cout << "refused version " << it["version"] << " " << it["ms_ago"]
-              << " ms ago: " << it["where"].get<std::string>() << " "
-              << it["reason"].get<std::string>() << "\n";
+    std::cout << "refused settings version " << it["version"] << " "
+              << it["ms_ago"] << " ms ago: " << it["where"].get<std::string>()
+              << ": " << it["reason"].get<std::string>() << "\n";
   for (const json &it : report["own_endpoints"])
-    std::cout << "own " << textOf(it["name"]) << "  " << textOf(it["service"])
-              << "  " << it["busy"] << " of " << it["slots"] << " slots busy  "
-              << textOf(it["standing"]) << " for " << it["for_ms"]
-              << " ms: " << textOf(it["reason"]) << "\n";
+    std::cout << "own endpoint " << textOf(it["name"]) << "  "
+              << textOf(it["service"]) << "  " << it["busy"] << " of "
+              << it["slots"] << " slots busy  " << textOf(it["standing"])
+              << " for " << it["for_ms"] << " ms: " << textOf(it["reason"])
+              << "\n";
   for (const json &member : report["members"]) {
     std::cout << textOf(member["node"]) << "  " << textOf(member["state"])
               << (member["leaving"].get<bool>() ? " leaving" : "") << "  "
--- a/src/hickorygladectl/options.cpp
+++ b/src/hickorygladectl/options.cpp
@@ -9,38 +9,39 @@
 const char *const Usage =
     R"(Usage: hickorygladectl [OPTIONS] COMMAND [ARGUMENTS]
 
-Publishes settings to a hickoryglade fleet and reads its reports.
+Publishes settings to a hickoryglade fleet and prints its status.
 
 Commands:
-  publish PATH    publish a node's own value (--value, --file or --remove) and
-                  wait until it is in force on every member
+  publish PATH    set or remove the value at a path (--value, --file or
+                  --remove) and wait until it is in force on every member
   get PATH [KEY]  print the values in force at a path and where each is
                   inherited from
   validate PATH   check a value (--value or --file) without publishing it
   status          print members, endpoints and quarantines
   watch           print the status whenever it changes
   explain ID [FILE ...]
-                  tell the story of one request from the logs of nodes (files,
-                  or standard input); ID is the caller's or the fleet's
+                  print the log lines of one request in order of time, from
+                  the logs of nodes (files, or standard input); ID is the
+                  request id of the caller or of the fleet
 
 Options:
   -n, --node IP:PORT  admin address of any node (default 127.0.0.1:9200)
-  -v, --value JSON    the value
-  -f, --file FILE     the value, JSON with comments
-  -r, --remove        remove the node's own value
+  -v, --value JSON    the value, as JSON
+  -f, --file FILE     file that contains the value, as JSON with comments
+  -r, --remove        remove the value at the path
   -b, --base N        revision that the change is based on (default: the
-                      present one)
+                      current one)
   -i, --id ID         id of the change; publish again with the same id if the
                       outcome was unknown
   -w, --wait-ms N     how long to wait for every member (default 7000)
-  -c, --count N       end watch after N reports
+  -c, --count N       stop watching after N reports
   -j, --json          print JSON
   -h, --help          print this help and exit
   -V, --version       print the version and exit
 
-Exit status: 0 done, 2 wrong command line, 3 conflict with another change,
+Exit status: 0 success, 2 usage error, 3 conflict with another change,
 4 invalid value, 5 node or log unreachable, 6 accepted but not yet in force
-on every member, 7 no line about the request.
+on every member, 7 no log line about the request.
 )";
 
 std::optional<int> parseOptions(int argc, char **argv, Options &options) {
