--- a/src/libhickoryglade/gateendpoint.cpp
+++ b/src/libhickoryglade/gateendpoint.cpp
@@ -14,7 +14,7 @@
 /// Factor by which a freshly started endpoint is usually slower.
 constexpr int ColdSlowdown = 2;
 
-/// Keeps the shift from overflowing; MostRest bounds the rest time itself.
+/// Keeps the shift from overflowing; MostRest bounds the time without traffic.
 constexpr int MaxDoublings = 16;
 
 Micros overdueBy(const GateEndpoint &endpoint, const SlotHolder &holder,
--- a/src/libhickoryglade/gatehealth.h
+++ b/src/libhickoryglade/gatehealth.h
@@ -15,9 +15,9 @@
 void assessHealth(Gate &gate, GateEndpoint &endpoint, Instant now,
                   GateActions &actions);
 
-/// Puts an ejected or suspect endpoint on trial once its rest is over. An
-/// endpoint on trial that receives no request for TrialIdleTimeout becomes
-/// healthy, since its service may have no idempotent requests.
+/// Puts an ejected or suspect endpoint on trial once its time without traffic
+/// is over. An endpoint on trial that receives no request for TrialIdleTimeout
+/// becomes healthy, since its service may have no idempotent requests.
 void considerTrial(const Gate &gate, GateEndpoint &endpoint, Instant now,
                    GateActions &actions);
 
--- a/src/libhickoryglade/instant.h
+++ b/src/libhickoryglade/instant.h
@@ -7,7 +7,7 @@
 using Millis = std::chrono::milliseconds;
 using Micros = std::chrono::microseconds;
 
-/// Clock type of the kernel. It has no now(): callers pass the time, so that
+/// Clock type of this library. It has no now(): callers pass the time, so that
 /// the same events always lead to the same decisions.
 struct KernelClock {
   using rep = Micros::rep;
--- a/src/libhickoryglade/keyplacement.h
+++ b/src/libhickoryglade/keyplacement.h
@@ -29,10 +29,10 @@
 
   const std::vector<LeaseHolder> &current() const;
 
-  /// Returns the keepers to query, besides those asked already, to be sure to
-  /// find a key that was used within its lifetime: one that held a copy of its
-  /// record in each roster of that time. Nothing if all copies of a roster are
-  /// lost.
+  /// Returns the keepers to query, besides those queried already, to be sure
+  /// to find a key that was used within its lifetime: one that held a copy of
+  /// its record in each roster of that time. Nothing if all copies of a roster
+  /// are lost.
   std::optional<std::vector<LeaseHolder>>
   formerKeepersToQuery(const std::string &key,
                        const std::vector<LeaseHolder> &asked, Micros lifetime,
--- a/src/libhickoryglade/random.h
+++ b/src/libhickoryglade/random.h
@@ -5,7 +5,7 @@
 
 namespace hickoryglade {
 
-/// Random number generator, seeded by callers and passed to the kernel.
+/// Random number generator, seeded by callers and passed to this library.
 using Random = std::mt19937_64;
 
 /// Uniform integer in [0, n); n must be positive.
--- a/src/libhickoryglade/settingslog.cpp
+++ b/src/libhickoryglade/settingslog.cpp
@@ -201,8 +201,8 @@
   if (peer.Next <= state.Next)
     return false;
   state.Next = peer.Next;
-  // A peer that started after a node was removed does not list it at all, so
-  // nodes missing from its tree are removed here too.
+  // A peer that started after a tree node was removed does not list it at all,
+  // so tree nodes that are missing from its tree are removed here too.
   for (auto &[path, node] : state.Tree.Nodes)
     if (!node.Value.is_null() && !peer.Tree.Nodes.contains(path))
       node = {nullptr, peer.Next - 1};
--- a/src/libhickoryglade/settingslog.h
+++ b/src/libhickoryglade/settingslog.h
@@ -18,7 +18,7 @@
   std::string Path;
   /// Revision of the path on which the operator based the change.
   std::int64_t Base = 0;
-  /// Null removes the node.
+  /// Null removes the tree node.
   nlohmann::json Value;
   std::string Author;
   /// Time of writing by the writer's wall clock, in milliseconds. It only
--- a/src/libhickoryglade/settingsschema.h
+++ b/src/libhickoryglade/settingsschema.h
@@ -30,7 +30,7 @@
 /// Level of a well-formed path.
 SettingsLevel settingsLevel(const std::string &path);
 
-/// Checks one node's own value against the schema of its level.
+/// Checks a tree node's own value against the schema of its level.
 std::vector<SettingsFault> checkSettingsValue(const std::string &path,
                                               const nlohmann::json &value);
 
