--- a/src/libfleet/entry/entry.h
+++ b/src/libfleet/entry/entry.h
@@ -67,7 +67,7 @@
 
   std::size_t inFlight() const { return InFlight; }
 
-  /// Called when the node begins to stop: asks the gates to let open attempts
+  /// Called when the node begins to stop: makes the gates let open attempts
   /// finish in place.
   void beginDrain();
 
--- a/src/libfleet/peers/link.h
+++ b/src/libfleet/peers/link.h
@@ -29,7 +29,7 @@
   };
 
   /// Traffic of bodies is counted under `bodies`: requests at an entry's end,
-  /// answers at a gate's end.
+  /// responses at a gate's end.
   Link(tcp::socket socket, wire::Hello own, TrafficCounters &traffic,
        TrafficCause bodies, Events events);
 
--- a/src/libfleet/reporting/trafficcounters.h
+++ b/src/libfleet/reporting/trafficcounters.h
@@ -12,7 +12,7 @@
 enum class TrafficCause {
   /// Headers and bodies of requests.
   Requests,
-  /// Headers and bodies of answers.
+  /// Headers and bodies of responses.
   Answers,
   /// Tickets, grants and withdrawals.
   Tickets,
