--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -73,7 +73,7 @@
   std::map<std::string, std::string> Running;
 };
 
-/// Discrete-event simulation of a fleet with one service, "w/s". The kernel's
+/// Discrete-event simulation of a fleet with one service, "w/s". The library's
 /// gates and entries run on virtual time with simulated endpoints, a simulated
 /// log and a simulated network, all of which can fail.
 class World {
--- a/tests/world/worldgate.cpp
+++ b/tests/world/worldgate.cpp
@@ -4,7 +4,8 @@
 
 #include <algorithm>
 
-/// Simulated gates: they carry out the kernel's actions on the endpoints.
+/// Simulated gates: they carry out the actions of the library's gates on
+/// the endpoints.
 
 namespace hickoryglade::world {
 
