--- a/src/hickorygladectl/commands.cpp
+++ b/src/hickorygladectl/commands.cpp
@@ -165,9 +165,8 @@
   }
   std::cout << "settings up to version " << report["settings_next"]
             << ", in force for " << report["settings_in_force_ms"]
-            << " ms; settings source "
-            << (report["log_reachable"].get<bool>() ? "reachable"
-                                                    : "unreachable")
+            << " ms; their source is "
+            << (report["log_reachable"].get<bool>() ? "reachable" : "away")
             << ", last answered " << report["source_age_ms"] << " ms ago\n";
   if (const json &it = report["settings_refused"]; it.is_object())
     std::cout << "refused settings version " << it["version"] << " "
